--- a/src/net/cluster/alive.rs
+++ b/src/net/cluster/alive.rs
@@ -1,7 +1,7 @@
-//! The failure detector: which members of the region are alive, by SWIM (`foca`). An error may leave a slice without a lease
-//! holder, and never gives it two.
+//! The failure detector: detects which members of the region are alive, with the SWIM protocol (`foca`). A wrong verdict may
+//! leave a slice without a lease holder, but never gives it two.
 
-use super::wire::MAX_PAYLOAD;
+use super::wire::MAX_GOSSIP_BYTES;
 use foca::{AccumulatingRuntime, Config, Foca, Identity, NoCustomBroadcast, PostcardCodec, Timer};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -11,20 +11,20 @@
 use std::num::{NonZeroU32, NonZeroUsize};
 use std::time::Duration;
 
-/// How often one other member is probed.
+/// The interval between probes; each probes one other member.
 const PROBE_PERIOD: Duration = Duration::from_secs(1);
-/// How long a probed member may take to answer before others probe it too.
+/// How long a probed member may take to answer before other members probe it too.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
-/// After this a suspected member, which answered no probe, is declared dead.
+/// How long a member that answered no probe is suspected before it is declared dead.
 const SUSPICION_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// For this long a dead member is remembered, so that late gossip does not bring it back.
+/// How long a dead member is remembered, so that late gossip does not revive it.
 const REMEMBER_DEAD: Duration = Duration::from_secs(30);
-/// How often a member that knows no other one announces itself, in microseconds.
+/// The interval at which a member that knows no other member announces itself, in microseconds.
 const ANNOUNCE_PERIOD: Micros = 1_000_000;
-/// To how many members it announces itself at a time.
+/// The number of members to which a member announces itself at a time.
 const ANNOUNCE_TARGETS: usize = 3;
 
-/// One incarnation of a member. Declared dead while alive, it comes back under the next bump.
+/// The identity of one incarnation of a member. A live member that was declared dead rejoins with the next `bump`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 struct MemberId {
     member: u16,
@@ -48,40 +48,40 @@
     }
 }
 
-/// A message of the failure detector to another member.
+/// A failure detector message to another member.
 pub struct GossipMessage {
-    /// The receiver.
+    /// The member that receives the message.
     pub to: Member,
-    /// The message as `foca` encodes it, of at most [`MAX_PAYLOAD`] bytes.
+    /// The message as encoded by `foca`, at most [`MAX_GOSSIP_BYTES`] long.
     pub bytes: Vec<u8>,
 }
 
-/// When a timer fires. Timers of the same microsecond fire in the order in which they were set.
+/// The key of a scheduled timer. Timers that are due in the same microsecond fire in the order in which they were set.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct TimerKey {
     at: Micros,
     sequence: u64,
 }
 
-/// Detects which members of the region are alive. It does no I/O: messages are passed in and returned.
+/// Detects which members of the region are alive. Performs no I/O: messages are passed in and returned.
 pub struct FailureDetector {
     foca: Foca<MemberId, PostcardCodec, SmallRng, NoCustomBroadcast>,
     runtime: AccumulatingRuntime<MemberId>,
     timers: BTreeMap<TimerKey, Timer<MemberId>>,
-    /// How many timers were set.
+    /// The number of timers set so far.
     timer_sequence: u64,
     /// The other members of the region.
     others: Vec<Member>,
-    /// When this member announces itself next, if it knows no other one.
+    /// When this member announces itself next, if it knows no other member.
     next_announcement: Micros,
-    /// The index in `others` to which it announced itself last.
+    /// The index in `others` of the member to which this one announced itself last.
     last_announced: usize,
 }
 
 impl FailureDetector {
-    /// A detector at the member `own`, in its process `incarnation`. `others` are the region's other members.
+    /// Creates the detector of the member `own_member` in the process `incarnation`; `others` are the region's other members.
     pub fn new(
-        own: Member,
+        own_member: Member,
         incarnation: Incarnation,
         others: Vec<Member>,
         seed: u64,
@@ -93,12 +93,12 @@
         config.probe_rtt = PROBE_TIMEOUT;
         config.suspect_to_down_after = SUSPICION_TIMEOUT;
         config.remove_down_after = Some(REMEMBER_DEAD);
-        config.max_packet_size = NonZeroUsize::new(MAX_PAYLOAD).unwrap_or(NonZeroUsize::MIN);
+        config.max_packet_size = NonZeroUsize::new(MAX_GOSSIP_BYTES).unwrap_or(NonZeroUsize::MIN);
         config.notify_down_members = true;
-        let id = MemberId { member: own.0, incarnation, bump: 0 };
+        let id = MemberId { member: own_member.0, incarnation, bump: 0 };
         let foca = Foca::new(id, config, SmallRng::seed_from_u64(seed), PostcardCodec);
         let last_announced = if others.is_empty() { 0 } else { seed as usize % others.len() };
-        // Members that start together don't announce themselves all at once.
+        // Spreads the announcements of members that start at the same time.
         let next_announcement = now + seed % (ANNOUNCE_PERIOD / 4);
         FailureDetector {
             foca,
@@ -111,25 +111,25 @@
         }
     }
 
-    /// The other members that are alive.
+    /// Returns the other members that are alive.
     pub fn members(&self) -> BTreeSet<Member> {
         let listed = |member: &Member| self.others.contains(member);
         self.foca.iter_members().map(|member| Member(member.id().member)).filter(listed).collect()
     }
 
-    /// When [`FailureDetector::tick`] has to be called next; `None`: nothing is scheduled.
+    /// Returns when [`FailureDetector::tick`] must be called next, or `None` if nothing is scheduled.
     pub fn next_deadline(&self) -> Option<Micros> {
         let timer = self.timers.keys().next().map(|key| key.at);
         let announcement = self.has_to_announce().then_some(self.next_announcement);
         timer.into_iter().chain(announcement).min()
     }
 
-    /// Whether this member knows no other one, and there are others.
+    /// Whether this member knows no other member although the region has others.
     fn has_to_announce(&self) -> bool {
         !self.others.is_empty() && self.foca.num_members() == 0
     }
 
-    /// Takes messages and timers out of the runtime.
+    /// Moves pending messages and timers out of the `foca` runtime.
     fn drain_runtime(&mut self, now: Micros, outgoing: &mut Vec<GossipMessage>) {
         while let Some((to, bytes)) = self.runtime.to_send() {
             outgoing.push(GossipMessage { to: Member(to.member), bytes: bytes.to_vec() });
@@ -142,10 +142,10 @@
         while self.runtime.to_notify().is_some() {}
     }
 
-    /// Processes a message of another member.
+    /// Processes a message from another member.
     pub fn receive(&mut self, now: Micros, bytes: &[u8], outgoing: &mut Vec<GossipMessage>) {
-        if let Err(e) = self.foca.handle_data(bytes, &mut self.runtime) {
-            log::debug!("alive: {e}");
+        if let Err(error) = self.foca.handle_data(bytes, &mut self.runtime) {
+            log::debug!("failure detector rejected a message: {error}");
         }
         self.drain_runtime(now, outgoing);
     }
@@ -153,8 +153,8 @@
     /// Fires the timers that are due.
     pub fn tick(&mut self, now: Micros, outgoing: &mut Vec<GossipMessage>) {
         while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().at <= now) {
-            if let Err(e) = self.foca.handle_timer(entry.remove(), &mut self.runtime) {
-                log::debug!("alive: {e}");
+            if let Err(error) = self.foca.handle_timer(entry.remove(), &mut self.runtime) {
+                log::debug!("failure detector timer failed: {error}");
             }
             self.drain_runtime(now, outgoing);
         }
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Tells the others that this member leaves.
+    /// Announces to the other members that this one leaves.
     pub fn leave(&mut self, now: Micros, outgoing: &mut Vec<GossipMessage>) {
         let _ = self.foca.leave_cluster(&mut self.runtime);
         self.drain_runtime(now, outgoing);
--- a/src/net/cluster/claims.rs
+++ b/src/net/cluster/claims.rs
@@ -1,27 +1,27 @@
-//! Received claims: merged into the table of claims, with the fences published to the gateway's worker.
+//! Received claims: merges them into the claim table and publishes new fences to the gateway's worker.
 
 use super::outbox::OutgoingMessage;
-use super::{Shared, lock};
+use super::{ClusterNode, lock};
 use sagearch_homes::message::{ClaimStatus, Claims};
 use sagearch_homes::region_claims::ReceivedClaims;
 use sagearch_homes::{Claim, FenceTable, Micros, Region};
 
-/// What follows from received claims.
+/// The messages that result from received claims.
 pub struct ClaimsOutcome {
-    /// The answer to the sender: claims that win against those received.
+    /// The answer to the sender: claims that win against the received ones.
     pub answer: Option<Claims>,
-    /// Messages to this region's members.
+    /// Messages that notify this region's members of lost claims.
     pub notifications: Vec<OutgoingMessage>,
 }
 
-impl Shared {
-    /// A neighbour reports claims that have won. It expects no answer.
+impl ClusterNode {
+    /// Receives claims that have won, reported by a neighbour, which expects no answer.
     pub(super) fn receive_fence(&self, now: Micros, claims: &Claims) {
         let outcome = self.receive_claims(now, self.directory.own_region(), claims);
         self.send(outcome.notifications);
     }
 
-    /// Merges claims of a region into the table. The caller sends the answer and the notifications.
+    /// Merges a region's claims into the claim table. The caller sends the answer and the notifications.
     pub(super) fn receive_claims(&self, now: Micros, region: Region, claims: &Claims) -> ClaimsOutcome {
         let mut coordination = lock(&self.coordination);
         let before = highest_claims(coordination.region_claims.fences(), claims);
@@ -34,7 +34,7 @@
     }
 }
 
-/// The highest known claims on the slices of `claims`.
+/// Returns the highest known claim on each slice of `claims`.
 fn highest_claims(fences: &FenceTable, claims: &Claims) -> Vec<Option<Claim>> {
     let highest = |status: &ClaimStatus| fences.get(status.slice).map(|highest| highest.claim);
     claims.0.iter().map(highest).collect()
--- a/src/net/cluster/coordination.rs
+++ b/src/net/cluster/coordination.rs
@@ -1,5 +1,4 @@
-//! A gateway's coordination state: its leases, its region's claims, which members are alive, and whom to contact in other
-//! regions.
+//! A gateway's coordination state: its leases, the claims of regions, the live members, and the contacts in other regions.
 
 use super::alive::FailureDetector;
 use crate::metrics::{ClusterCounters, gauge_value};
@@ -7,44 +6,47 @@
 use sagearch_homes::{Claim, Epoch, Micros, Region, RegionClaims, Slice};
 use std::collections::BTreeMap;
 
-/// How this gateway reaches another region.
+/// This gateway's contact in another region.
 #[derive(Clone, Copy, Default)]
 pub struct Contact {
-    /// Whether the region was heard since it was last sent to.
-    pub heard: bool,
-    /// How many of its members have not answered.
-    pub attempt: usize,
+    /// Whether a message from the region was received since the last broadcast to it.
+    pub reachable: bool,
+    /// The number of broadcasts that no message from the region followed; it selects the member to send to.
+    pub failed_attempts: usize,
 }
 
-/// What this gateway knows of the leases and claims of the fleet.
+/// This gateway's knowledge of the fleet's leases, claims and live members.
 pub struct Coordination {
-    /// This gateway's leases, and its votes on those of others.
+    /// This gateway's leases, and its votes on the leases of others.
     pub holder: LeaseHolder,
     /// The claims of all regions.
     pub region_claims: RegionClaims,
-    /// Which members of the region are alive.
-    pub alive: FailureDetector,
-    /// How to reach each region, by its number.
+    /// Detects which members of the region are alive.
+    pub failure_detector: FailureDetector,
+    /// The contact in each region, indexed by region number.
     pub contacts: Vec<Contact>,
-    /// Whether operators know that a majority is missing.
-    pub majority: MajorityWatch,
+    /// Decides when operators are notified of a missing majority.
+    pub majority_monitor: MajorityMonitor,
 }
 
 impl Coordination {
-    /// When the next probe, renewal or claim is due; `None`: nothing is scheduled.
+    /// Returns when the next probe, renewal or claim is due, or `None` if nothing is scheduled.
     pub fn next_deadline(&self, now: Micros) -> Option<Micros> {
         let claims = self.holder.held_leases(now).next().map(|_| self.region_claims.next_deadline());
-        [self.alive.next_deadline(), self.holder.next_deadline(now), claims].into_iter().flatten().min()
+        [self.failure_detector.next_deadline(), self.holder.next_deadline(now), claims]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
-    /// Passes on who is alive, from the failure detector to the leases and to operators.
-    pub fn update_members(&mut self, counted: &ClusterCounters) {
-        let members = self.alive.members();
-        counted.members.set(gauge_value(members.len()));
+    /// Passes the set of live members from the failure detector to the lease holder and to the metrics.
+    pub fn update_members(&mut self, counters: &ClusterCounters) {
+        let members = self.failure_detector.members();
+        counters.members.set(gauge_value(members.len()));
         self.holder.set_alive_members(members);
     }
 
-    /// The active claims on slices whose leases this gateway holds.
+    /// Returns the active claims on slices whose leases this gateway holds.
     pub fn active_claims(&self, now: Micros, held: &BTreeMap<Slice, Epoch>) -> BTreeMap<Slice, Claim> {
         let active = |(slice, epoch): (&Slice, &Epoch)| {
             Some((*slice, self.region_claims.active_claim(now, *slice, Some(*epoch))?))
@@ -52,22 +54,22 @@
         held.iter().filter_map(active).collect()
     }
 
-    /// Records that a region is reachable.
-    pub fn record_heard(&mut self, region: Region) {
+    /// Records that a message from the region was received.
+    pub fn mark_reachable(&mut self, region: Region) {
         if let Some(contact) = self.contacts.get_mut(usize::from(region.0)) {
-            contact.heard = true;
+            contact.reachable = true;
         }
     }
 }
 
 /// Decides when operators are notified that no majority of the region's voters grants leases, and when one does again.
 #[derive(Default)]
-pub struct MajorityWatch {
+pub struct MajorityMonitor {
     missing_since: Option<Micros>,
     reported: bool,
 }
 
-/// What operators are notified of.
+/// A change that operators are notified of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MajorityChange {
     /// No majority has granted leases for the grace period.
@@ -76,8 +78,8 @@
     Regained,
 }
 
-impl MajorityWatch {
-    /// A majority that is missing is reported once, and only after `grace`.
+impl MajorityMonitor {
+    /// Updates the state. A missing majority is reported once, and only after the period `grace`.
     pub fn update(&mut self, now: Micros, missing: bool, grace: Micros) -> Option<MajorityChange> {
         if !missing {
             self.missing_since = None;
--- a/src/net/cluster/directory.rs
+++ b/src/net/cluster/directory.rs
@@ -1,4 +1,4 @@
-//! The members of the fleet as the operators' file lists them, and which of them this gateway is.
+//! The members of the fleet as listed in the operators' file, and this gateway's place among them.
 
 use sagearch_homes::message::ProcessId;
 use sagearch_homes::{Member, Region};
@@ -11,19 +11,19 @@
     address: SocketAddr,
 }
 
-/// Who is who in the fleet.
+/// The addresses and regions of the fleet's members.
 pub struct Directory {
-    own: ProcessId,
+    own_process: ProcessId,
     own_region: Region,
     region_names: Vec<String>,
-    /// By member number.
+    /// Indexed by member number.
     members: Vec<ListedMember>,
-    by_address: HashMap<SocketAddr, Member>,
+    member_by_address: HashMap<SocketAddr, Member>,
 }
 
 impl Directory {
-    /// The directory of a fleet, at the member `own`.
-    pub fn new(fleet: &Fleet, own: ProcessId, own_region: Region) -> Directory {
+    /// Creates the directory of a fleet for the gateway process `own_process`.
+    pub fn new(fleet: &Fleet, own_process: ProcessId, own_region: Region) -> Directory {
         let listed = |RegionMember { region, member }| ListedMember {
             region: Region(region as u8),
             address: member.address,
@@ -31,35 +31,35 @@
         let numbered =
             |RegionMember { member, .. }: RegionMember<'_>| (member.address, Member(member.number));
         Directory {
-            own,
+            own_process,
             own_region,
             region_names: fleet.regions.iter().map(|region| region.name.clone()).collect(),
             members: fleet.members().map(listed).collect(),
-            by_address: fleet.members().map(numbered).collect(),
+            member_by_address: fleet.members().map(numbered).collect(),
         }
     }
 
-    /// This gateway's member and incarnation.
-    pub fn own(&self) -> ProcessId {
-        self.own
+    /// Returns this gateway's member and incarnation.
+    pub fn own_process(&self) -> ProcessId {
+        self.own_process
     }
 
-    /// This gateway's region.
+    /// Returns this gateway's region.
     pub fn own_region(&self) -> Region {
         self.own_region
     }
 
-    /// The member that sends from an address.
+    /// Returns the member with an address.
     pub fn member_at(&self, address: &SocketAddr) -> Option<Member> {
-        self.by_address.get(address).copied()
+        self.member_by_address.get(address).copied()
     }
 
-    /// The address that a member receives at.
+    /// Returns the address of a member.
     pub fn address_of(&self, member: Member) -> Option<SocketAddr> {
         self.members.get(usize::from(member.0)).map(|listed| listed.address)
     }
 
-    /// The region that a member belongs to.
+    /// Returns the region of a member.
     pub fn region_of(&self, member: Member) -> Option<Region> {
         self.members.get(usize::from(member.0)).map(|listed| listed.region)
     }
@@ -69,28 +69,28 @@
         self.region_of(member) == Some(self.own_region)
     }
 
-    /// The other members of this gateway's region.
+    /// Returns the other members of this gateway's region.
     pub fn neighbours(&self) -> impl Iterator<Item = Member> + '_ {
-        self.members_of(self.own_region).filter(|member| *member != self.own.member)
+        self.members_of(self.own_region).filter(|member| *member != self.own_process.member)
     }
 
-    /// A region's name in the operators' file; empty if there is no such region.
+    /// Returns a region's name in the operators' file, or an empty string if there is no such region.
     pub fn region_name(&self, region: Region) -> &str {
         self.region_names.get(usize::from(region.0)).map_or("", String::as_str)
     }
 
-    /// All regions but this gateway's.
+    /// Returns all regions except this gateway's.
     pub fn other_regions(&self) -> impl Iterator<Item = Region> + '_ {
         let regions = (0..self.region_names.len()).map(|region| Region(region as u8));
         regions.filter(|region| *region != self.own_region)
     }
 
-    /// The member of another region to send to. The gateways of a region spread over the other region's members; `attempt`
-    /// counts how many of them did not answer. The receiver forwards messages for slices that it has no lease on.
-    pub fn contact(&self, region: Region, attempt: usize) -> Option<Member> {
+    /// Returns the member of another region to send to. The gateways of a region are spread over the other region's members;
+    /// each failed attempt selects the next member. The receiver forwards messages for slices that it has no lease on.
+    pub fn contact(&self, region: Region, failed_attempts: usize) -> Option<Member> {
         let members: Vec<Member> = self.members_of(region).collect();
-        let at = (usize::from(self.own.member.0) + attempt) % members.len().max(1);
-        members.get(at).copied()
+        let index = (usize::from(self.own_process.member.0) + failed_attempts) % members.len().max(1);
+        members.get(index).copied()
     }
 
     fn members_of(&self, region: Region) -> impl Iterator<Item = Member> + '_ {
--- a/src/net/cluster/outbox.rs
+++ b/src/net/cluster/outbox.rs
@@ -1,4 +1,4 @@
-//! Sends datagrams to members, at a bounded rate.
+//! Rate-limited sending of datagrams to members.
 
 use super::alive::GossipMessage;
 use super::directory::Directory;
@@ -14,16 +14,16 @@
 use std::sync::Arc;
 use tracing_mutex::stdsync::Mutex;
 
-/// A message to another member, not yet encoded.
+/// An unencoded message to another member.
 pub struct OutgoingMessage {
-    /// The receiver.
+    /// The member that receives the message.
     pub to: Member,
-    /// The content.
+    /// The content of the datagram.
     pub body: Body,
 }
 
 impl OutgoingMessage {
-    /// A message to a member.
+    /// Creates a message to a member.
     pub fn new(to: Member, body: Body) -> OutgoingMessage {
         OutgoingMessage { to, body }
     }
@@ -47,63 +47,63 @@
     clock: Clock,
     fleet_tag: u32,
     incarnation: Incarnation,
-    /// Datagrams a second.
+    /// The maximum rate, in datagrams per second.
     rate: Amount,
-    tokens: Mutex<TokenBucket>,
-    counted: Arc<ClusterCounters>,
+    token_bucket: Mutex<TokenBucket>,
+    counters: Arc<ClusterCounters>,
 }
 
 impl Outbox {
-    /// An outbox that sends up to `rate` datagrams a second, and half of that in a burst.
+    /// Creates an outbox that sends up to `rate` datagrams per second, and up to half of that in a burst.
     pub fn new(
         socket: Arc<UdpSocket>,
         clock: Clock,
         fleet_tag: u32,
         incarnation: Incarnation,
         rate: u64,
-        counted: Arc<ClusterCounters>,
+        counters: Arc<ClusterCounters>,
     ) -> Outbox {
         let rate = Amount::calls(rate);
-        let tokens = Mutex::new(TokenBucket::new(rate / 2, clock.now()));
-        Outbox { socket, clock, fleet_tag, incarnation, rate, tokens, counted }
+        let token_bucket = Mutex::new(TokenBucket::new(rate / 2, clock.now()));
+        Outbox { socket, clock, fleet_tag, incarnation, rate, token_bucket, counters }
     }
 
-    /// Sends messages as far as the rate allows; the rest is dropped and counted.
+    /// Sends messages up to the rate limit; messages above it are dropped and counted.
     pub fn send(&self, directory: &Directory, messages: Vec<OutgoingMessage>) {
         for OutgoingMessage { to, body } in messages {
             let bytes = match wire::encode(self.fleet_tag, self.incarnation, body) {
                 Ok(bytes) => bytes,
                 Err(error) => {
-                    self.counted.lost(error.label());
+                    self.counters.lost(error.label());
                     continue;
                 }
             };
-            let allowed = self.take_token();
+            let allowed = self.try_take_token();
             let Some(address) = directory.address_of(to).filter(|_| allowed) else {
-                self.counted.lost("over_rate");
+                self.counters.lost("over_rate");
                 continue;
             };
             match self.socket.send_to(&bytes, address) {
-                Ok(sent) => self.counted.bytes("sent", sent),
-                Err(_) => self.counted.lost("unsent"),
+                Ok(sent) => self.counters.bytes("sent", sent),
+                Err(_) => self.counters.lost("unsent"),
             }
         }
     }
 
-    /// Sends an empty datagram to the own socket, which wakes the thread that reads from it.
+    /// Sends an empty datagram to this socket's own address, which wakes the thread that reads from it.
     ///
     /// # Errors
     ///
-    /// If the socket can't send.
+    /// If the socket's address can't be determined or the datagram can't be sent.
     pub fn wake_reader(&self) -> io::Result<()> {
-        let own = self.socket.local_addr()?;
-        self.socket.send_to(&[], own).map(drop)
+        let own_address = self.socket.local_addr()?;
+        self.socket.send_to(&[], own_address).map(drop)
     }
 
-    /// Whether the rate allows one more datagram.
-    fn take_token(&self) -> bool {
-        let mut tokens = lock(&self.tokens);
-        tokens.refill(self.clock.now(), self.rate);
-        tokens.take(ONE_CALL)
+    /// Takes a token for one datagram; false if the rate limit is reached.
+    fn try_take_token(&self) -> bool {
+        let mut token_bucket = lock(&self.token_bucket);
+        token_bucket.refill(self.clock.now(), self.rate);
+        token_bucket.take(ONE_CALL)
     }
 }
--- a/src/net/cluster/periodic.rs
+++ b/src/net/cluster/periodic.rs
@@ -1,11 +1,11 @@
-//! Tasks by time: probes, renewals of leases, claims, rate transfers; and the release of leases when the process ends.
+//! Scheduled tasks: probes, lease renewals, claims and rate transfers; also the release of leases when the process ends.
 
 use super::alive::GossipMessage;
-use super::channels::Work;
+use super::channels::Task;
 use super::coordination::{Coordination, MajorityChange};
 use super::outbox::OutgoingMessage;
 use super::wire::Body;
-use super::{LOG_TARGET, Shared, lock};
+use super::{ClusterNode, LOG_TARGET, lock};
 use crate::metrics::gauge_value;
 use sagearch_homes::message::{self, LeaseMessage};
 use sagearch_homes::{Epoch, Member, Micros, Slice};
@@ -13,10 +13,10 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// After how many lengths of a promise a missing majority is reported.
+/// How long a majority may be missing before operators are notified, in multiples of a voter's promise.
 const MAJORITY_GRACE_PROMISES: u64 = 3;
 
-impl Shared {
+impl ClusterNode {
     /// Runs the tasks that are due, and sets the next deadline.
     pub(super) fn tick(&self) {
         let now = self.clock.now();
@@ -26,45 +26,46 @@
         let mut leases = message::Outgoing::new();
         let lease_changes = coordination.holder.tick(now, self.jitter(), &mut leases);
         let held: BTreeMap<Slice, Epoch> = coordination.holder.held_leases(now).collect();
-        self.counted.homes.set(gauge_value(held.len()));
-        self.watch_majority(now, &mut coordination, held.is_empty());
+        self.counters.homes.set(gauge_value(held.len()));
+        self.monitor_majority(now, &mut coordination, held.is_empty());
         let claims = coordination.region_claims.tick(now, &held);
         self.broadcast_claims(&mut coordination, &claims.broadcast, &mut messages);
         if !claims.changes.is_empty() {
             self.publish_fences(&coordination);
         }
         let active = coordination.active_claims(now, &held);
-        let attempts: Vec<usize> = coordination.contacts.iter().map(|contact| contact.attempt).collect();
+        let failed_attempts_by_region: Vec<usize> =
+            coordination.contacts.iter().map(|contact| contact.failed_attempts).collect();
         self.deadline.store(self.next_deadline(&coordination), Ordering::SeqCst);
         drop(coordination);
         messages.extend(gossip.into_iter().map(OutgoingMessage::from));
         messages.extend(leases.into_iter().map(OutgoingMessage::from));
-        self.request_transfers(now, &active, &attempts, &mut messages);
+        self.request_transfers(now, &active, &failed_attempts_by_region, &mut messages);
         self.record_leases(now, lease_changes);
         messages.extend(self.record_claims(now, claims.changes));
         self.send(messages);
     }
 
-    /// Probes other members, and passes on who is alive.
+    /// Probes other members and updates the set of live members.
     fn tick_failure_detector(&self, now: Micros, coordination: &mut Coordination) -> Vec<GossipMessage> {
         let mut gossip = Vec::new();
-        coordination.alive.tick(now, &mut gossip);
-        coordination.update_members(&self.counted);
+        coordination.failure_detector.tick(now, &mut gossip);
+        coordination.update_members(&self.counters);
         gossip
     }
 
-    /// Reports a majority that is missing or back. Without one there are no lease holders, and each gateway spends its reserve
-    /// only.
-    fn watch_majority(&self, now: Micros, coordination: &mut Coordination, none_held: bool) {
+    /// Notifies operators when a majority is lost or regained. Without a majority there are no lease holders, and each
+    /// gateway spends only its reserve.
+    fn monitor_majority(&self, now: Micros, coordination: &mut Coordination, none_held: bool) {
         let missing = none_held && coordination.holder.missing_leases(now) > 0;
         let grace = MAJORITY_GRACE_PROMISES * self.lease_config.promise();
-        match coordination.majority.update(now, missing, grace) {
+        match coordination.majority_monitor.update(now, missing, grace) {
             None => {}
             Some(MajorityChange::Lost) => {
-                self.counted.change("without_majority", 1);
+                self.counters.change("without_majority", 1);
                 log::warn!(
                     target: LOG_TARGET,
-                    "no majority of the region's voters is heard: this gateway is on what it has alone"
+                    "no majority of the region's voters is heard: this gateway spends only its reserve"
                 );
             }
             Some(MajorityChange::Regained) => {
@@ -78,9 +79,10 @@
         self.fences.store(Arc::new(coordination.region_claims.fences().clone()));
     }
 
-    /// Has the pool release this gateway's leases before the process ends: others need not wait until they expire.
-    pub fn end(&self) {
-        let _ = self.work.try_send(Work::Leave);
+    /// Asks the pool to leave the region and release all leases before the process ends, so that other members need not wait
+    /// until the leases expire.
+    pub fn request_leave(&self) {
+        let _ = self.tasks.try_send(Task::Leave);
     }
 
     /// Leaves the region and releases all leases.
@@ -88,7 +90,7 @@
         let now = self.clock.now();
         let mut coordination = lock(&self.coordination);
         let mut gossip = Vec::new();
-        coordination.alive.leave(now, &mut gossip);
+        coordination.failure_detector.leave(now, &mut gossip);
         let mut held: BTreeMap<Epoch, Vec<Slice>> = BTreeMap::new();
         for (slice, epoch) in coordination.holder.held_leases(now) {
             held.entry(epoch).or_default().push(slice);
@@ -99,17 +101,17 @@
         let mut messages: Vec<OutgoingMessage> = gossip.into_iter().map(OutgoingMessage::from).collect();
         messages.extend(self.release_messages(&held, voters));
         self.send(messages);
-        log::info!(target: LOG_TARGET, "what was held for the fleet is given back");
+        log::info!(target: LOG_TARGET, "released all leases before shutdown");
     }
 
-    /// Tells the other voters which leases are released.
+    /// Creates the messages that notify the other voters of released leases.
     fn release_messages(
         &self,
         held: &BTreeMap<Epoch, Vec<Slice>>,
         voters: impl IntoIterator<Item = Member>,
     ) -> Vec<OutgoingMessage> {
-        let own = self.directory.own().member;
-        let others: Vec<Member> = voters.into_iter().filter(|voter| *voter != own).collect();
+        let own_member = self.directory.own_process().member;
+        let others: Vec<Member> = voters.into_iter().filter(|voter| *voter != own_member).collect();
         let mut messages = Vec::new();
         for (epoch, slices) in held {
             for slices in slices.chunks(message::MAX_SLICES) {
--- a/src/net/cluster/record.rs
+++ b/src/net/cluster/record.rs
@@ -1,14 +1,14 @@
-//! Changes of leases and claims: applied to the ledger, counted, and logged for operators.
+//! Changes of leases and claims: applies them to the ledger, counts them and logs them for operators.
 
 use super::accounts::BudgetAccount;
 use super::outbox::OutgoingMessage;
 use super::wire::Body;
-use super::{LOG_TARGET, Shared, claim_fields, lock};
+use super::{ClusterNode, LOG_TARGET, claim_fields, lock};
 use sagearch_homes::message::{ClaimStatus, Claims};
 use sagearch_homes::{Claim, ClaimChange, LeaseChange, LossReason, Micros, Slice};
 
-impl Shared {
-    /// Records changes of this gateway's leases: its allocators are opened and closed with them.
+impl ClusterNode {
+    /// Records changes of this gateway's leases, and creates and drops the allocators of their slices.
     pub(super) fn record_leases(&self, now: Micros, changes: Vec<LeaseChange>) {
         if changes.is_empty() {
             return;
@@ -22,7 +22,7 @@
                     gained += 1;
                     log::debug!(target: LOG_TARGET, "gained slice={} epoch={epoch} at={at}", slice.0);
                     let accounts = ledger.iter_mut().filter(|account| account.slice == slice);
-                    accounts.for_each(|account| account.open(epoch, now));
+                    accounts.for_each(|account| account.begin_lease(epoch, now));
                 }
                 LeaseChange::Lost { slice, epoch, reason } => {
                     match reason {
@@ -31,20 +31,20 @@
                     }
                     log::debug!(target: LOG_TARGET, "lost slice={} epoch={epoch} at={at}", slice.0);
                     let accounts = ledger.iter_mut().filter(|account| account.slice == slice);
-                    accounts.for_each(BudgetAccount::close);
+                    accounts.for_each(BudgetAccount::end_lease);
                 }
             }
         }
         drop(ledger);
-        for (count, what) in [(gained, "gained"), (moved, "moved"), (lapsed, "lapsed")] {
+        for (count, change) in [(gained, "gained"), (moved, "moved"), (lapsed, "lapsed")] {
             if count > 0 {
-                log::info!(target: LOG_TARGET, "homes: {count} {what}");
-                self.counted.change(what, count);
+                log::info!(target: LOG_TARGET, "leases {change}: {count}");
+                self.counters.change(change, count);
             }
         }
     }
 
-    /// Records changes of claims. Returns the messages that fence off lost claims of this region.
+    /// Records changes of claims. Returns the messages that notify the region's members of lost claims.
     pub(super) fn record_claims(&self, now: Micros, changes: Vec<ClaimChange>) -> Vec<OutgoingMessage> {
         let mut messages = Vec::new();
         let at = self.clock.unix_us(now);
@@ -67,18 +67,18 @@
             }
         }
         if claimed + released > 0 {
-            log::info!(target: LOG_TARGET, "claims: {claimed} made, {released} left");
-            self.counted.change("claimed", claimed);
+            log::info!(target: LOG_TARGET, "claims made: {claimed}, released: {released}");
+            self.counters.change("claimed", claimed);
         }
         messages
     }
 
     fn record_split(&self, at: u64, slice: Slice, lost: &Claim, won: &Claim) {
-        self.counted.change("split", 1);
+        self.counters.change("split", 1);
         let [lost_by, won_by] = [lost, won].map(|claim| self.directory.region_name(claim.region));
         log::warn!(
             target: LOG_TARGET,
-            "split brain: {won_by:?} and {lost_by:?} both claim slice {}; {won_by:?} wins",
+            "split brain: regions {won_by:?} and {lost_by:?} both claim slice {}; {won_by:?} wins",
             slice.0
         );
         log::debug!(
@@ -91,8 +91,8 @@
     }
 
     fn record_fenced(&self, at: u64, slice: Slice, lost: &Claim, won: &Claim) {
-        self.counted.change("fenced", 1);
-        log::warn!(target: LOG_TARGET, "fenced: this gateway's claim on slice {} has lost", slice.0);
+        self.counters.change("fenced", 1);
+        log::warn!(target: LOG_TARGET, "this gateway's claim on slice {} is fenced by a higher claim", slice.0);
         log::debug!(
             target: LOG_TARGET,
             "fenced slice={} lost {} won {} at={at}",
@@ -102,7 +102,7 @@
         );
     }
 
-    /// Tells all members of the region at once that a claim has lost: they may hold grants under it.
+    /// Creates messages that notify all neighbours of a winning claim, as they may hold grants under the lost one.
     fn fence_neighbours(&self, slice: Slice, won: Claim) -> Vec<OutgoingMessage> {
         let status = ClaimStatus { slice, claim: won, age: Some(0) };
         let fence = |member| OutgoingMessage::new(member, Body::Fence(Claims(vec![status])));
--- a/src/net/cluster/regions.rs
+++ b/src/net/cluster/regions.rs
@@ -1,38 +1,40 @@
-//! Messages between regions. Claims are broadcast; a receiver that is not the slice's lease holder forwards them to it.
+//! Messages between regions. Claims are broadcast; a receiver that is not the lease holder of a slice forwards its claims to
+//! the lease holder.
 
 use super::claims::ClaimsOutcome;
 use super::coordination::Coordination;
 use super::outbox::OutgoingMessage;
 use super::wire::{Body, RemoteMessage};
-use super::{Shared, lock};
+use super::{ClusterNode, lock};
 use sagearch_homes::message::{ClaimStatus, Claims, ProcessId};
 use sagearch_homes::{Member, Micros, Region};
 use std::collections::BTreeMap;
 
-/// Who wrote a message of another region.
+/// The author of a message from another region.
 #[derive(Clone, Copy)]
 pub struct RemoteSender {
-    /// The region.
+    /// The region that the message is from.
     pub region: Region,
-    /// The member and its incarnation.
+    /// The member that wrote the message, and its incarnation.
     pub process: ProcessId,
-    /// Whether a neighbour forwarded the message; it is not forwarded again.
+    /// Whether a neighbour forwarded the message. A forwarded message is not forwarded again.
     pub forwarded: bool,
 }
 
-/// Another gateway's message, forwarded within this region.
-pub fn forwarded(from: ProcessId, message: RemoteMessage) -> Body {
+/// Creates the datagram content that forwards another gateway's message within this region.
+pub fn forwarded_body(from: ProcessId, message: RemoteMessage) -> Body {
     Body::Remote { from: from.member.0, incarnation: from.incarnation, forwarded: true, message }
 }
 
-impl Shared {
-    /// A message of this gateway's own to another region.
-    pub(super) fn remote(&self, message: RemoteMessage) -> Body {
-        let ProcessId { member, incarnation } = self.directory.own();
+impl ClusterNode {
+    /// Creates the datagram content for this gateway's own message to another region.
+    pub(super) fn remote_body(&self, message: RemoteMessage) -> Body {
+        let ProcessId { member, incarnation } = self.directory.own_process();
         Body::Remote { from: member.0, incarnation, forwarded: false, message }
     }
 
-    /// Sends claims to one member of each other region: to the region's next member if the last one did not answer.
+    /// Adds messages that send claims to one member of each other region; it is the next member if the last one did not
+    /// answer.
     pub(super) fn broadcast_claims(
         &self,
         coordination: &mut Coordination,
@@ -44,18 +46,18 @@
         }
         for region in self.directory.other_regions() {
             let contact = &mut coordination.contacts[usize::from(region.0)];
-            contact.attempt += usize::from(!std::mem::take(&mut contact.heard));
-            let Some(to) = self.directory.contact(region, contact.attempt) else { continue };
+            contact.failed_attempts += usize::from(!std::mem::take(&mut contact.reachable));
+            let Some(to) = self.directory.contact(region, contact.failed_attempts) else { continue };
             let to_contact = |claims: &Claims| {
-                OutgoingMessage::new(to, self.remote(RemoteMessage::Claims(claims.clone())))
+                OutgoingMessage::new(to, self.remote_body(RemoteMessage::Claims(claims.clone())))
             };
             messages.extend(claims.iter().map(to_contact));
         }
     }
 
-    /// Processes a message of another region.
+    /// Processes a message from another region.
     pub(super) fn receive_remote(&self, now: Micros, from: RemoteSender, message: RemoteMessage) {
-        lock(&self.coordination).record_heard(from.region);
+        lock(&self.coordination).mark_reachable(from.region);
         match message {
             RemoteMessage::Claims(claims) => self.receive_remote_claims(now, from, claims),
             RemoteMessage::RateTransferRequest(transfer) => {
@@ -68,7 +70,7 @@
     fn receive_remote_claims(&self, now: Micros, from: RemoteSender, claims: Claims) {
         let ClaimsOutcome { answer, notifications: mut messages } =
             self.receive_claims(now, from.region, &claims);
-        let answer = answer.map(|claims| self.remote(RemoteMessage::Claims(claims)));
+        let answer = answer.map(|claims| self.remote_body(RemoteMessage::Claims(claims)));
         messages.extend(answer.map(|body| OutgoingMessage::new(from.process.member, body)));
         if !from.forwarded {
             messages.extend(self.forward_claims(from.process, claims));
@@ -76,7 +78,7 @@
         self.send(messages);
     }
 
-    /// Forwards claims to the lease holders of their slices in this region.
+    /// Creates messages that forward claims to the preferred lease holders of their slices in this region.
     fn forward_claims(&self, from: ProcessId, claims: Claims) -> Vec<OutgoingMessage> {
         let coordination = lock(&self.coordination);
         let mut by_holder: BTreeMap<Member, Vec<ClaimStatus>> = BTreeMap::new();
@@ -84,9 +86,9 @@
             by_holder.entry(coordination.holder.preferred_holder(status.slice)).or_default().push(status);
         }
         drop(coordination);
-        by_holder.remove(&self.directory.own().member);
+        by_holder.remove(&self.directory.own_process().member);
         let forward = |(to, statuses)| {
-            OutgoingMessage::new(to, forwarded(from, RemoteMessage::Claims(Claims(statuses))))
+            OutgoingMessage::new(to, forwarded_body(from, RemoteMessage::Claims(Claims(statuses))))
         };
         by_holder.into_iter().map(forward).collect()
     }
--- a/src/net/cluster/spend.rs
+++ b/src/net/cluster/spend.rs
@@ -1,7 +1,7 @@
-//! A shared budget as the worker sees it. It waits for no lock: grants come by a bounded channel, requests go by another, and
-//! fences are read from a published snapshot.
+//! The gateway worker's side of a shared budget. It never waits for a lock: grants and requests pass through bounded channels,
+//! and fences are read from a published snapshot.
 
-use super::channels::{AuthorizedGrant, Work, WorkerGrantRequest};
+use super::channels::{AuthorizedGrant, Task, WorkerGrantRequest};
 use super::wire::GrantAuthority;
 use crate::interface::{Micros, RetryBudget, RetryPayment};
 use crate::metrics::ClusterCounters;
@@ -12,36 +12,37 @@
 use sagearch_ledger::{Payment, QuotaClient};
 use std::sync::Arc;
 
-/// A budget of the fleet, as the gateway's worker spends from it.
+/// A budget of the fleet from which the gateway's worker spends.
 pub struct SharedBudget {
     /// The budget's number in the operators' file.
     pub budget: u8,
-    /// The slice whose lease holder issues the grants.
+    /// The slice whose lease holder issues grants from this budget.
     pub slice: Slice,
-    /// The grants received so far, and this gateway's reserve.
+    /// The quota granted to this gateway, and its reserve.
     pub client: QuotaClient<GrantAuthority>,
-    /// Requests to the pool. A full channel drops the request: it is made again, as if the datagram were lost.
-    pub work: Sender<Work>,
-    /// Grants from the pool.
+    /// The channel for requests to the pool. A request that finds it full is dropped and retried, like a lost datagram.
+    pub tasks: Sender<Task>,
+    /// The channel for grants from the pool.
     pub grants: Receiver<AuthorizedGrant>,
-    /// The highest claims known: grants under lower ones are void.
+    /// The highest known claims; grants under lower claims are void.
     pub fences: Arc<ArcSwap<FenceTable>>,
     /// The gateway's clock.
     pub clock: Clock,
     /// The metrics of the shared state.
-    pub counted: Arc<ClusterCounters>,
+    pub counters: Arc<ClusterCounters>,
 }
 
 impl SharedBudget {
-    /// Receives grants before it requests more: an answer to a request that is not the latest counts for nothing.
-    fn request(&mut self, now: Micros) {
+    /// Receives pending grants and then requests more if needed. Grants come first because a grant is ignored unless it
+    /// answers the latest request.
+    fn receive_and_request(&mut self, now: Micros) {
         while let Ok(AuthorizedGrant { authority, grant }) = self.grants.try_recv() {
             self.client.receive(now, grant, authority);
         }
         if let Some(request) = self.client.request(now) {
             let request = WorkerGrantRequest { budget: self.budget, request };
-            if self.work.try_send(Work::RequestGrant(request)).is_err() {
-                self.counted.lost("asks_unheard");
+            if self.tasks.try_send(Task::RequestGrant(request)).is_err() {
+                self.counters.lost("asks_unheard");
             }
         }
     }
@@ -50,29 +51,29 @@
 impl RetryBudget for SharedBudget {
     fn expect(&mut self, now: Micros, at: Micros) {
         self.client.expect_call(at);
-        self.request(now);
+        self.receive_and_request(now);
     }
 
     fn tick(&mut self, now: Micros) {
-        self.request(now);
+        self.receive_and_request(now);
     }
 
     fn spend(&mut self, now: Micros) -> Option<RetryPayment> {
-        self.request(now);
+        self.receive_and_request(now);
         let fences = self.fences.load();
         let payment = self.client.spend(now, |authority: &GrantAuthority| authority.is_fenced(&fences));
         drop(fences);
         let claim = match payment {
             None => {
-                self.counted.spent("nothing");
+                self.counters.spent("nothing");
                 return None;
             }
             Some(Payment::Reserve) => {
-                self.counted.spent("floor");
+                self.counters.spent("floor");
                 None
             }
             Some(Payment::Leased(authority)) => {
-                self.counted.spent("leased");
+                self.counters.spent("leased");
                 authority.claim
             }
         };
@@ -89,7 +90,7 @@
         let fences = self.fences.load();
         let is_valid = payment.claim.is_none_or(|claim| !fences.fenced(payment.slice, &claim));
         if !is_valid {
-            self.counted.lost("fenced_attempts");
+            self.counters.lost("fenced_attempts");
         }
         is_valid
     }
--- a/src/net/cluster/start.rs
+++ b/src/net/cluster/start.rs
@@ -1,13 +1,13 @@
-//! Builds the tables from the operators' file, and starts the threads.
+//! Joins the fleet: builds the tables from the operators' file and starts the threads.
 
 use super::accounts::BudgetAccount;
 use super::alive::FailureDetector;
-use super::channels::{AuthorizedGrant, Work};
-use super::coordination::{Contact, Coordination, MajorityWatch};
+use super::channels::{AuthorizedGrant, Task};
+use super::coordination::{Contact, Coordination, MajorityMonitor};
 use super::directory::Directory;
 use super::outbox::Outbox;
 use super::spend::SharedBudget;
-use super::{LOG_TARGET, Shared, Started, wire, workers};
+use super::{ClusterNode, JoinedCluster, LOG_TARGET, wire, workers};
 use crate::interface::RetryBudget;
 use crate::metrics::ClusterCounters;
 use crate::net::clock::Clock;
@@ -26,44 +26,45 @@
 use std::sync::atomic::{AtomicBool, AtomicU64};
 use tracing_mutex::stdsync::Mutex;
 
-/// How many tasks may wait for the pool; further ones are dropped, as datagrams may be.
-const WORK_QUEUE_LENGTH: usize = 1_024;
-/// How many grants of one budget may wait for the gateway's worker; further ones are dropped.
+/// How many tasks may wait for the pool. Further tasks are dropped, like datagrams that the network loses.
+const TASK_QUEUE_LENGTH: usize = 1_024;
+/// How many grants of one budget may wait for the gateway's worker. Further grants are dropped.
 const GRANT_QUEUE_LENGTH: usize = 64;
-/// The operators' file states times in milliseconds.
+/// Converts the times of the operators' file, which are in milliseconds.
 const MICROS_PER_MILLISECOND: Micros = 1_000;
-/// The operators' file states parts of a budget in percent.
+/// Converts the shares of a budget in the operators' file, which are in percent.
 const PER_MILLE_IN_PERCENT: u64 = 10;
-/// Makes the failure detector's seed differ from the pool's.
+/// Derives the failure detector's seed from the gateway's seed, so that it differs from the pool's.
 const FAILURE_DETECTOR_SEED: u64 = 0x616c;
 
-/// What a gateway needs to join a fleet.
-pub struct Joining<'a> {
+/// The parameters with which a gateway joins a fleet.
+pub struct JoinConfig<'a> {
     /// The fleet, as the operators' file describes it.
     pub fleet: &'a Fleet,
-    /// The gateway's name.
+    /// The name under which the fleet lists this gateway.
     pub name: &'a str,
-    /// The address to bind, if it differs from the one that the other members send to.
+    /// The address to bind, if it differs from the address to which other members send.
     pub listen: Option<SocketAddr>,
     /// The gateway's clock.
     pub clock: Clock,
-    /// Higher than that of every earlier process of this gateway; in Unix microseconds, or above. It is also the least epoch
-    /// that can be new.
+    /// The incarnation of this process: a time in Unix microseconds, or above, and higher than that of every earlier process
+    /// of this gateway. It is also the initial lower bound for new epochs.
     pub incarnation: Incarnation,
-    /// The seed of all pseudo-random numbers.
+    /// The seed for all pseudo-random numbers.
     pub seed: u64,
     /// The metrics of the shared state.
-    pub counted: ClusterCounters,
+    pub counters: ClusterCounters,
 }
 
-/// Joins the fleet: builds the tables and starts the threads. `None`: the fleet does not list this gateway.
+/// Joins the fleet: builds the tables and starts the threads. Returns `None` if the fleet does not list this gateway.
 ///
 /// # Errors
 ///
 /// If the socket can't be bound, a budget can't be divided among the members, or a thread can't be started.
-pub fn start(joining: Joining) -> io::Result<Option<Started>> {
-    let Joining { fleet, name, listen, clock, incarnation, seed, counted } = joining;
-    let Some(RegionMember { region, member }) = fleet.members().find(|it| it.member.name == name) else {
+pub fn start(config: JoinConfig) -> io::Result<Option<JoinedCluster>> {
+    let JoinConfig { fleet, name, listen, clock, incarnation, seed, counters } = config;
+    let Some(RegionMember { region, member }) = fleet.members().find(|listed| listed.member.name == name)
+    else {
         log::error!(
             target: LOG_TARGET,
             "fleet {:?} has no member {name:?}: this gateway shares nothing",
@@ -73,100 +74,105 @@
     };
     let now = clock.now();
     let socket = Arc::new(UdpSocket::bind(listen.unwrap_or(member.address))?);
-    let setup = Setup {
+    let builder = NodeBuilder {
         fleet,
         region: &fleet.regions[region],
         own_region: Region(region as u8),
-        own: ProcessId { member: Member(member.number), incarnation },
+        own_process: ProcessId { member: Member(member.number), incarnation },
         now,
         clock,
         seed,
-        counted: Arc::new(counted),
+        counters: Arc::new(counters),
     };
-    let (work, work_queue) = bounded(WORK_QUEUE_LENGTH);
-    let fences = Arc::new(ArcSwap::from_pointee(FenceTable::new(setup.regions(), fleet.slices)));
-    let Budgets { ledger, grants, allowances } = setup.budgets(&work, &fences)?;
-    let shared = Arc::new(setup.shared(socket.clone(), work, fences, ledger, grants));
-    workers::spawn(&shared, socket, &work_queue)?;
-    let region = &setup.region.name;
-    log::info!(target: LOG_TARGET, "member {} of fleet {:?}, in region {region:?}", member.number, fleet.name);
-    Ok(Some(Started { budgets: allowances, shared }))
+    let (tasks, task_queue) = bounded(TASK_QUEUE_LENGTH);
+    let fences = Arc::new(ArcSwap::from_pointee(FenceTable::new(builder.regions(), fleet.slices)));
+    let BudgetParts { ledger, grant_senders, worker_budgets } = builder.budgets(&tasks, &fences)?;
+    let node = Arc::new(builder.node(socket.clone(), tasks, fences, ledger, grant_senders));
+    workers::spawn(&node, socket, &task_queue)?;
+    let region = &builder.region.name;
+    log::info!(
+        target: LOG_TARGET,
+        "joined as member {} of fleet {:?}, in region {region:?}",
+        member.number,
+        fleet.name
+    );
+    Ok(Some(JoinedCluster { budgets: worker_budgets, node }))
 }
 
-/// The budgets as each side uses them, all in the order of the operators' file.
+/// The parts of all budgets for the pool and for the gateway's worker, in the order of the operators' file.
 #[derive(Default)]
-struct Budgets {
-    /// The pool's accounts.
+struct BudgetParts {
+    /// The accounts that the pool operates on.
     ledger: Vec<BudgetAccount>,
-    /// The pool's ends of the channels by which grants go to the gateway's worker.
-    grants: Vec<Sender<AuthorizedGrant>>,
-    /// What the gateway's worker spends from.
-    allowances: Vec<Box<dyn RetryBudget>>,
+    /// The sending ends of the channels that pass grants to the gateway's worker.
+    grant_senders: Vec<Sender<AuthorizedGrant>>,
+    /// The budgets from which the gateway's worker spends.
+    worker_budgets: Vec<Box<dyn RetryBudget>>,
 }
 
-/// What the tables are built from.
-struct Setup<'a> {
+/// Builds the tables of a [`ClusterNode`].
+struct NodeBuilder<'a> {
     fleet: &'a Fleet,
     /// This gateway's region.
     region: &'a fleet::Region,
     own_region: Region,
-    own: ProcessId,
+    own_process: ProcessId,
     now: Micros,
     clock: Clock,
     seed: u64,
-    counted: Arc<ClusterCounters>,
+    counters: Arc<ClusterCounters>,
 }
 
-impl Setup<'_> {
-    fn shared(
+impl NodeBuilder<'_> {
+    fn node(
         &self,
         socket: Arc<UdpSocket>,
-        work: Sender<Work>,
+        tasks: Sender<Task>,
         fences: Arc<ArcSwap<FenceTable>>,
         ledger: Vec<BudgetAccount>,
-        grants: Vec<Sender<AuthorizedGrant>>,
-    ) -> Shared {
+        grant_senders: Vec<Sender<AuthorizedGrant>>,
+    ) -> ClusterNode {
         let fleet_tag = wire::fleet_tag(&self.fleet.name);
-        Shared {
+        ClusterNode {
             clock: self.clock,
             fleet_tag,
-            directory: Directory::new(self.fleet, self.own, self.own_region),
+            directory: Directory::new(self.fleet, self.own_process, self.own_region),
             lease_config: self.lease_config(),
             coordination: Mutex::new(self.coordination()),
             ledger: Mutex::new(ledger),
             outbox: self.outbox(socket, fleet_tag),
             fences,
-            grants,
-            counted: self.counted.clone(),
+            grant_senders,
+            counters: self.counters.clone(),
             deadline: AtomicU64::new(self.now),
-            work,
-            workers: self.fleet.workers,
+            tasks,
+            worker_count: self.fleet.workers,
             stopping: AtomicBool::new(false),
-            running: Arc::default(),
+            running_threads: Arc::default(),
             jitter_counter: AtomicU64::new(self.seed),
         }
     }
 
     fn outbox(&self, socket: Arc<UdpSocket>, fleet_tag: u32) -> Outbox {
         let rate = u64::from(self.fleet.rate);
-        Outbox::new(socket, self.clock, fleet_tag, self.own.incarnation, rate, self.counted.clone())
+        Outbox::new(socket, self.clock, fleet_tag, self.own_process.incarnation, rate, self.counters.clone())
     }
 
-    fn budgets(&self, work: &Sender<Work>, fences: &Arc<ArcSwap<FenceTable>>) -> io::Result<Budgets> {
-        let mut budgets = Budgets::default();
+    fn budgets(&self, tasks: &Sender<Task>, fences: &Arc<ArcSwap<FenceTable>>) -> io::Result<BudgetParts> {
+        let mut budgets = BudgetParts::default();
         for (number, budget) in self.fleet.budgets.iter().enumerate() {
             let account = self.account(budget)?;
             let (sender, grants) = bounded(GRANT_QUEUE_LENGTH);
-            budgets.grants.push(sender);
-            budgets.allowances.push(Box::new(SharedBudget {
+            budgets.grant_senders.push(sender);
+            budgets.worker_budgets.push(Box::new(SharedBudget {
                 budget: number as u8,
                 slice: account.slice,
-                client: QuotaClient::new(account.parameters, self.own.incarnation.0, self.now),
-                work: work.clone(),
+                client: QuotaClient::new(account.parameters, self.own_process.incarnation.0, self.now),
+                tasks: tasks.clone(),
                 grants,
                 fences: fences.clone(),
                 clock: self.clock,
-                counted: self.counted.clone(),
+                counters: self.counters.clone(),
             }));
             budgets.ledger.push(account);
         }
@@ -186,7 +192,7 @@
     }
 
     fn coordination(&self) -> Coordination {
-        let ProcessId { member, incarnation } = self.own;
+        let ProcessId { member, incarnation } = self.own_process;
         let members = |numbers: &BTreeSet<u16>| numbers.iter().copied().map(Member).collect();
         let voters = self.region.voters.iter().map(members).collect();
         let listed = self.region.members.iter().map(|listed| Member(listed.number));
@@ -195,7 +201,13 @@
         let regions = self.regions();
         let seed = mix(self.seed ^ FAILURE_DETECTOR_SEED);
         Coordination {
-            holder: LeaseHolder::new(self.lease_config(), self.own, voters, self.now, Epoch(incarnation.0)),
+            holder: LeaseHolder::new(
+                self.lease_config(),
+                self.own_process,
+                voters,
+                self.now,
+                Epoch(incarnation.0),
+            ),
             region_claims: RegionClaims::new(
                 self.own_region,
                 regions,
@@ -203,9 +215,9 @@
                 claim_duration,
                 incarnation,
             ),
-            alive: FailureDetector::new(member, incarnation, others, seed, self.now),
+            failure_detector: FailureDetector::new(member, incarnation, others, seed, self.now),
             contacts: vec![Contact::default(); self.fleet.regions.len()],
-            majority: MajorityWatch::default(),
+            majority_monitor: MajorityMonitor::default(),
         }
     }
 
@@ -216,20 +228,21 @@
         Ok(BudgetAccount::new(budget.name.clone(), slice, parameters, federated))
     }
 
-    /// The parameters of this region's part of a budget. A federated budget is divided among the regions by their numbers of
-    /// members; rate that a region doesn't need can be transferred to others.
+    /// Returns the parameters of this region's share of a budget. A federated budget is divided among the regions in
+    /// proportion to their numbers of members; rate that a region doesn't need can be transferred to others.
     fn parameters(&self, budget: &fleet::Budget) -> io::Result<QuotaParameters> {
         let region_members = self.region.members.len() as u64;
         let fleet_members = self.fleet.members().count() as u64;
         let amount = Amount::calls(budget.amount);
-        let stated = Budget {
+        let configured_budget = Budget {
             amount: if budget.federated { amount * region_members / fleet_members } else { amount },
             window: budget.window * MICROS_PER_MILLISECOND,
             overdraft: budget.overdraft * PER_MILLE_IN_PERCENT,
             reserve: budget.floors * PER_MILLE_IN_PERCENT,
         };
-        let parameters =
-            stated.parameters(region_members, u64::from(self.fleet.drift)).map_err(io::Error::other)?;
+        let parameters = configured_budget
+            .parameters(region_members, u64::from(self.fleet.drift))
+            .map_err(io::Error::other)?;
         if parameters.reserve_rate > Amount::ZERO && parameters.reserve_capacity < ONE_CALL {
             log::warn!(
                 target: LOG_TARGET,
--- a/src/net/cluster/wire.rs
+++ b/src/net/cluster/wire.rs
@@ -1,5 +1,5 @@
-//! Datagrams between gateways of a fleet: at most 256 bytes each, by `postcard`, with a version in front. Fields and variants
-//! are encoded by their order, which therefore stays.
+//! The format of datagrams between gateways of a fleet: a version byte followed by fields, encoded with `postcard`, in at most
+//! 256 bytes. Fields and variants are encoded by their order, which must therefore not change.
 
 use sagearch_homes::message::{Claims, LeaseMessage};
 use sagearch_homes::{Claim, Epoch, FenceTable, Incarnation, Slice};
@@ -7,22 +7,22 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The longest datagram that gateways may send.
-pub const MAX_DATAGRAM: usize = 256;
-/// The part of it that the failure detector's messages may take.
-pub const MAX_PAYLOAD: usize = 220;
-/// The first byte of each datagram.
+/// The maximum length of a datagram, in bytes.
+pub const MAX_DATAGRAM_BYTES: usize = 256;
+/// The maximum length of a failure detector message within a datagram, in bytes.
+pub const MAX_GOSSIP_BYTES: usize = 220;
+/// The version of the format, which is the first byte of each datagram.
 const VERSION: u8 = 1;
 
 /// A datagram between gateways.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
     version: u8,
-    /// From the fleet's name (see [`fleet_tag`]): datagrams of other fleets are dropped.
+    /// The hash of the fleet's name (see [`fleet_tag`]). Datagrams of other fleets are dropped.
     fleet: u32,
     /// The incarnation of the sender, which its address identifies.
     pub incarnation: Incarnation,
-    /// The content.
+    /// The content of the datagram.
     pub body: Body,
 }
 
@@ -31,35 +31,35 @@
 pub enum Body {
     /// A message of the failure detector.
     Alive(Vec<u8>),
-    /// A message on leases, among the members of a region.
+    /// A message about leases, between members of a region.
     Lease(LeaseMessage),
-    /// To members of the own region: claims that have won against others.
+    /// Claims that have won against others, reported to members of the same region.
     Fence(Claims),
-    /// To another region. A receiver that is not the slice's lease holder forwards it, once.
+    /// A message to another region. A receiver that is not the slice's lease holder forwards it, once.
     Remote {
         /// The member that wrote the message.
         from: u16,
-        /// Its incarnation.
+        /// The incarnation of the member that wrote the message.
         incarnation: Incarnation,
         /// Whether the datagram's sender forwarded the message.
         forwarded: bool,
-        /// The message.
+        /// The message to the other region.
         message: RemoteMessage,
     },
-    /// A member requests a grant from the lease holder.
+    /// A member's request to the lease holder for a grant.
     GrantRequest {
         /// The budget's number in the operators' file.
         budget: u8,
-        /// How much is requested.
+        /// The requested amount and the number of the request.
         request: GrantRequest,
     },
-    /// The lease holder's answer.
+    /// The lease holder's answer to a grant request.
     Grant {
         /// The budget's number in the operators' file.
         budget: u8,
-        /// Under which lease and claim the grant was issued.
+        /// The lease and claim under which the grant was issued.
         authority: GrantAuthority,
-        /// The granted amount.
+        /// The grant as issued by the allocator.
         grant: Grant,
     },
 }
@@ -67,15 +67,15 @@
 /// A message between regions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RemoteMessage {
-    /// The sender's claims, or those that win against the receiver's.
+    /// The sender's claims, or claims that win against the receiver's.
     Claims(Claims),
-    /// A claimant requests a part of another region's rate.
+    /// A claimant's request for a part of another region's rate.
     RateTransferRequest(RateTransfer),
-    /// The answer, with the rate that is transferred.
+    /// The answer to a rate transfer request, with the rate that is transferred.
     RateTransferGranted(RateTransfer),
 }
 
-/// A part of a region's rate, as requested or as transferred.
+/// A requested or granted transfer of a part of a region's rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RateTransfer {
     /// The budget's number in the operators' file.
@@ -84,25 +84,25 @@
     pub number: u32,
     /// The claim of the region that receives the rate.
     pub claim: Claim,
-    /// The rate, a second.
+    /// The requested or transferred rate, per second.
     pub rate: Amount,
-    /// All that the allocator of this message's sender has issued.
+    /// The total that the allocator of this message's sender has issued.
     pub issued: Amount,
 }
 
-/// The lease, and the region's claim, under which a grant was issued: void once the claim is fenced.
+/// The lease and the region's claim under which a grant was issued. The grant is void once the claim is fenced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantAuthority {
     /// The slice of the budget.
     pub slice: Slice,
     /// The epoch of the lease.
     pub epoch: Epoch,
-    /// The claim, for a federated budget.
+    /// The region's claim, if the budget is federated.
     pub claim: Option<Claim>,
 }
 
 impl GrantAuthority {
-    /// Whether a higher claim on the slice is known: the grant is void then.
+    /// Whether a higher claim on the slice is known, which makes the grant void.
     pub fn is_fenced(&self, fences: &FenceTable) -> bool {
         self.claim.is_some_and(|claim| fences.fenced(self.slice, &claim))
     }
@@ -111,22 +111,22 @@
 /// Why a datagram can't be sent or is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DatagramError {
-    /// Longer than [`MAX_DATAGRAM`].
-    #[error("the datagram is longer than {MAX_DATAGRAM} bytes")]
+    /// The datagram is longer than [`MAX_DATAGRAM_BYTES`].
+    #[error("the datagram is longer than {MAX_DATAGRAM_BYTES} bytes")]
     TooLong,
-    /// Not in the format of this version.
-    #[error("the datagram can't be encoded or decoded")]
+    /// The datagram can't be encoded, or its content is not in the format of this version.
+    #[error("the datagram can't be encoded, or is not in the format of version {VERSION}")]
     Malformed,
-    /// Of a program with another version of the format.
-    #[error("the datagram is of another version")]
+    /// The datagram has another version of the format.
+    #[error("the datagram's format version is not {VERSION}")]
     OtherVersion,
-    /// Of a fleet with another name.
-    #[error("the datagram is of another fleet")]
+    /// The datagram is from a fleet with another name.
+    #[error("the datagram is from another fleet")]
     OtherFleet,
 }
 
 impl DatagramError {
-    /// The label of the metric that counts dropped datagrams.
+    /// Returns the label under which the metrics count the dropped datagram.
     pub fn label(self) -> &'static str {
         match self {
             DatagramError::TooLong => "too_long",
@@ -137,7 +137,7 @@
     }
 }
 
-/// Distinguishes fleets by a hash of their names.
+/// Returns the hash of a fleet's name, which distinguishes its datagrams from those of other fleets.
 pub fn fleet_tag(name: &str) -> u32 {
     crate::hash::of_text(name) as u32
 }
@@ -146,23 +146,23 @@
 ///
 /// # Errors
 ///
-/// If it is longer than [`MAX_DATAGRAM`].
+/// If the datagram is longer than [`MAX_DATAGRAM_BYTES`] or can't be encoded.
 pub fn encode(fleet: u32, incarnation: Incarnation, body: Body) -> Result<Vec<u8>, DatagramError> {
     let datagram = Datagram { version: VERSION, fleet, incarnation, body };
     let bytes = postcard::to_stdvec(&datagram).map_err(|_| DatagramError::Malformed)?;
-    if bytes.len() > MAX_DATAGRAM { Err(DatagramError::TooLong) } else { Ok(bytes) }
+    if bytes.len() > MAX_DATAGRAM_BYTES { Err(DatagramError::TooLong) } else { Ok(bytes) }
 }
 
 /// Decodes a datagram of the fleet.
 ///
 /// # Errors
 ///
-/// If it is too long, malformed, or of another version or fleet.
+/// If the datagram is too long, malformed, or of another version or fleet.
 pub fn decode(fleet: u32, bytes: &[u8]) -> Result<Datagram, DatagramError> {
-    if bytes.len() > MAX_DATAGRAM {
+    if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(DatagramError::TooLong);
     }
-    // The rest may have another meaning in another version.
+    // Checked first, as the rest may have another meaning in another version.
     if bytes.first() != Some(&VERSION) {
         return Err(DatagramError::OtherVersion);
     }
--- a/src/net/lifecycle/control_side.rs
+++ b/src/net/lifecycle/control_side.rs
@@ -10,7 +10,7 @@
 use crate::broker::Broker;
 use crate::metrics::FeedCounters;
 use crate::net::clock::Clock;
-use crate::net::cluster::{self, Joining, Shared};
+use crate::net::cluster::{self, ClusterNode, JoinConfig};
 use crate::net::configuration::control;
 use crate::net::configuration::identity::Guard;
 use crate::net::configuration::layered_config::LayeredConfig;
@@ -49,7 +49,7 @@
     pub operators: Operators,
     broker: Arc<Mutex<Broker<Mailbox>>>,
     events: Arc<BrokerEvents>,
-    shared: Option<Arc<Shared>>,
+    shared: Option<Arc<ClusterNode>>,
     staleness: Mutex<StalenessMonitor>,
     name: String,
     seed: u64,
@@ -146,19 +146,19 @@
     /// Shares state with other gateways, where the operators' file names a fleet.
     fn join_fleet(&mut self, peer_listen: Option<SocketAddr>) -> io::Result<()> {
         let Some(fleet) = &self.operators.fleet else { return Ok(()) };
-        let joining = Joining {
+        let joining = JoinConfig {
             fleet,
             name: &self.name,
             listen: peer_listen,
             clock: self.clock,
             incarnation: Incarnation(self.incarnation),
             seed: self.seed,
-            counted: self.guard.metrics.shared.clone(),
+            counters: self.guard.metrics.shared.clone(),
         };
         let started = cluster::start(joining)?;
         let Some(started) = started else { return Ok(()) };
         started.budgets.into_iter().for_each(|budget| self.broker().share_budget(budget));
-        self.shared = Some(started.shared);
+        self.shared = Some(started.node);
         Ok(())
     }
 
@@ -203,7 +203,7 @@
 
     /// Releases the leases and quotas that it has as a member of a fleet.
     pub fn leave_fleet(&self) {
-        self.shared.iter().for_each(|shared| shared.end());
+        self.shared.iter().for_each(|shared| shared.request_leave());
     }
 
     /// Stops its threads and coroutines, and closes the connection of the feed. No event is applied any more.
--- a/tests/shared.rs
+++ b/tests/shared.rs
@@ -1,10 +1,10 @@
-//! Shared state on real sockets: a region of three gateways agrees on leases and spends a budget; datagrams of unknown
-//! senders and of other fleets are dropped and counted.
+//! Shared state over real sockets: three gateways of a region agree on leases and spend a budget, and datagrams from unknown
+//! senders and other fleets are dropped and counted.
 
 use sagearch::interface::RetryBudget;
 use sagearch::metrics::Metrics;
 use sagearch::net::clock::Clock;
-use sagearch::net::cluster::{self, Joining, Shared};
+use sagearch::net::cluster::{self, ClusterNode, JoinConfig};
 use sagearch_operators::{Anywhere, parse};
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -14,10 +14,10 @@
     metrics: Metrics,
     clock: Clock,
     budget: Box<dyn RetryBudget>,
-    shared: Arc<Shared>,
+    node: Arc<ClusterNode>,
 }
 
-/// Free addresses: bound briefly, on a loopback address that only this process uses.
+/// Finds free addresses by binding them briefly, on a loopback address that only this process uses.
 fn addresses(count: usize) -> Vec<SocketAddr> {
     let own = std::process::id();
     let ip = format!("127.{}.{}.7:0", 32 + own / 250 % 90, 1 + own % 250);
@@ -25,41 +25,41 @@
     sockets.iter().map(|socket| socket.local_addr().unwrap()).collect()
 }
 
-fn start(fleet: &str, addresses: &[SocketAddr], at: usize) -> Member {
+fn start(fleet: &str, addresses: &[SocketAddr], index: usize) -> Member {
     let members =
-        addresses.iter().enumerate().map(|(at, address)| format!("member \"g{at}\" \"{address}\"\n"));
+        addresses.iter().enumerate().map(|(index, address)| format!("member \"g{index}\" \"{address}\"\n"));
     let text = format!(
         "fleet \"{fleet}\" slices=16 lease=\"300ms\" {{\nregion \"east\" {{\n{}}}\nbudget \"origin\" amount=400 window=\"2s\" overdraft=50\n}}\n",
         members.collect::<String>()
     );
     let fleet = parse("fleet.kdl", &text, &Anywhere).unwrap().fleet.unwrap();
     let (metrics, clock) = (Metrics::default(), Clock::default());
-    let joining = Joining {
+    let config = JoinConfig {
         fleet: &fleet,
-        name: &format!("g{at}"),
+        name: &format!("g{index}"),
         listen: None,
         clock,
         incarnation: sagearch_homes::Incarnation(sagearch_clock::unix_micros()),
-        seed: 7 + at as u64,
-        counted: metrics.shared.clone(),
+        seed: 7 + index as u64,
+        counters: metrics.shared.clone(),
     };
-    let started = cluster::start(joining).unwrap().unwrap();
-    let mut budgets = started.budgets;
-    Member { metrics, clock, budget: budgets.remove(0), shared: started.shared }
+    let joined = cluster::start(config).unwrap().unwrap();
+    let mut budgets = joined.budgets;
+    Member { metrics, clock, budget: budgets.remove(0), node: joined.node }
 }
 
 impl Member {
-    fn figure(&self, name: &str) -> f64 {
+    fn metric(&self, name: &str) -> f64 {
         let text = self.metrics.text();
         let line = text.lines().find(|line| line.starts_with(name));
         line.and_then(|line| line.rsplit(' ').next()?.parse().ok()).unwrap_or(0.0)
     }
 }
 
-fn wait_for(what: &str, mut check: impl FnMut() -> bool) {
+fn wait_for(condition: &str, mut is_met: impl FnMut() -> bool) {
     let since = Instant::now();
-    while !check() {
-        assert!(since.elapsed() < Duration::from_secs(30), "{what}");
+    while !is_met() {
+        assert!(since.elapsed() < Duration::from_secs(30), "timed out: {condition}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
@@ -68,32 +68,33 @@
 #[expect(clippy::float_cmp, reason = "counts, which a float holds exactly")]
 fn gateways_in_a_region_share_leases_and_a_budget_and_drop_unknown_senders() {
     let addresses = addresses(4);
-    let mut members: Vec<Member> = (0..3).map(|at| start("edge", &addresses[..3], at)).collect();
-    let held_leases =
-        |members: &[Member]| members.iter().map(|it| it.figure("sagearch_shared_homes ")).sum::<f64>();
+    let mut members: Vec<Member> = (0..3).map(|index| start("edge", &addresses[..3], index)).collect();
+    let held_leases = |members: &[Member]| {
+        members.iter().map(|member| member.metric("sagearch_shared_homes ")).sum::<f64>()
+    };
     wait_for("each slice has one lease holder", || {
-        let each = members.iter().all(|it| it.figure("sagearch_shared_homes ") >= 1.0);
+        let each = members.iter().all(|member| member.metric("sagearch_shared_homes ") >= 1.0);
         each && held_leases(&members) == 16.0
     });
-    // Each can pay, also without the lease, for calls that are announced as retries are.
+    // Each gateway can pay for calls announced in advance, as retries are, even where it does not hold the lease.
     for member in &mut members {
-        wait_for("a grant", || {
+        wait_for("the gateway spends granted quota", || {
             let now = member.clock.now();
             member.budget.expect(now, now + 20_000);
             std::thread::sleep(Duration::from_millis(30));
             member.budget.tick(member.clock.now());
             member.budget.spend(member.clock.now());
-            member.figure("sagearch_shared_spent_total{what=\"leased\"}") >= 3.0
+            member.metric("sagearch_shared_spent_total{what=\"leased\"}") >= 3.0
         });
     }
-    let stranger = UdpSocket::bind(addresses[3]).unwrap();
-    stranger.send_to(b"hello", addresses[0]).unwrap();
-    wait_for("a stranger is counted", || {
-        members[0].figure("sagearch_shared_dropped_total{what=\"stranger\"}") >= 1.0
+    let unknown_sender = UdpSocket::bind(addresses[3]).unwrap();
+    unknown_sender.send_to(b"hello", addresses[0]).unwrap();
+    wait_for("the datagram of an unknown sender is counted", || {
+        members[0].metric("sagearch_shared_dropped_total{what=\"stranger\"}") >= 1.0
     });
-    // One leaves: its slices are leased again by those that are left.
-    let left = members.pop().unwrap();
-    left.shared.end();
+    // When a gateway leaves, the remaining ones acquire the leases on its slices.
+    let leaving = members.pop().unwrap();
+    leaving.node.request_leave();
     wait_for("two gateways hold all leases", || held_leases(&members) == 16.0);
 }
 
@@ -101,11 +102,11 @@
 #[expect(clippy::float_cmp, reason = "counts, which a float holds exactly")]
 fn datagrams_of_another_fleet_are_dropped() {
     let addresses = addresses(2);
-    let one = start("edge", &addresses, 0);
+    let gateway = start("edge", &addresses, 0);
     let _other = start("core", &addresses, 1);
-    wait_for("the datagrams are counted", || {
-        one.figure("sagearch_shared_dropped_total{what=\"other_fleet\"}") >= 2.0
+    wait_for("the datagrams of the other fleet are counted", || {
+        gateway.metric("sagearch_shared_dropped_total{what=\"other_fleet\"}") >= 2.0
     });
-    assert_eq!(one.figure("sagearch_shared_members "), 0.0);
-    assert_eq!(one.figure("sagearch_shared_homes "), 0.0, "one of two voters is no majority");
+    assert_eq!(gateway.metric("sagearch_shared_members "), 0.0);
+    assert_eq!(gateway.metric("sagearch_shared_homes "), 0.0, "one of two voters is not a majority");
 }
