--- a/src/net/cluster/alive.rs
+++ b/src/net/cluster/alive.rs
@@ -18,7 +18,7 @@
 /// How long a member that answered no probe is suspected before it is declared dead.
 const SUSPICION_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// How long a dead member is remembered, so that late gossip does not revive it.
-const REMEMBER_DEAD: Duration = Duration::from_secs(30);
+const DEAD_MEMBER_RETENTION: Duration = Duration::from_secs(30);
 /// The interval at which a member that knows no other member announces itself, in microseconds.
 const ANNOUNCE_PERIOD: Micros = 1_000_000;
 /// The number of members to which a member announces itself at a time.
@@ -87,12 +87,12 @@
         seed: u64,
         now: Micros,
     ) -> FailureDetector {
-        let size = NonZeroU32::new(others.len() as u32 + 1).unwrap_or(NonZeroU32::MIN);
-        let mut config = Config::new_lan(size);
+        let member_count = NonZeroU32::new(others.len() as u32 + 1).unwrap_or(NonZeroU32::MIN);
+        let mut config = Config::new_lan(member_count);
         config.probe_period = PROBE_PERIOD;
         config.probe_rtt = PROBE_TIMEOUT;
         config.suspect_to_down_after = SUSPICION_TIMEOUT;
-        config.remove_down_after = Some(REMEMBER_DEAD);
+        config.remove_down_after = Some(DEAD_MEMBER_RETENTION);
         config.max_packet_size = NonZeroUsize::new(MAX_GOSSIP_BYTES).unwrap_or(NonZeroUsize::MIN);
         config.notify_down_members = true;
         let id = MemberId { member: own_member.0, incarnation, bump: 0 };
@@ -113,8 +113,8 @@
 
     /// Returns the other members that are alive.
     pub fn members(&self) -> BTreeSet<Member> {
-        let listed = |member: &Member| self.others.contains(member);
-        self.foca.iter_members().map(|member| Member(member.id().member)).filter(listed).collect()
+        let is_listed = |member: &Member| self.others.contains(member);
+        self.foca.iter_members().map(|member| Member(member.id().member)).filter(is_listed).collect()
     }
 
     /// Returns when [`FailureDetector::tick`] must be called next, or `None` if nothing is scheduled.
@@ -134,9 +134,9 @@
         while let Some((to, bytes)) = self.runtime.to_send() {
             outgoing.push(GossipMessage { to: Member(to.member), bytes: bytes.to_vec() });
         }
-        while let Some((after, timer)) = self.runtime.to_schedule() {
+        while let Some((delay, timer)) = self.runtime.to_schedule() {
             self.timer_sequence += 1;
-            let at = now + after.as_micros() as Micros;
+            let at = now + delay.as_micros() as Micros;
             self.timers.insert(TimerKey { at, sequence: self.timer_sequence }, timer);
         }
         while self.runtime.to_notify().is_some() {}
--- a/src/net/cluster/periodic.rs
+++ b/src/net/cluster/periodic.rs
@@ -56,8 +56,8 @@
 
     /// Notifies operators when a majority is lost or regained. Without a majority there are no lease holders, and each
     /// gateway spends only its reserve.
-    fn monitor_majority(&self, now: Micros, coordination: &mut Coordination, none_held: bool) {
-        let missing = none_held && coordination.holder.missing_leases(now) > 0;
+    fn monitor_majority(&self, now: Micros, coordination: &mut Coordination, holds_no_lease: bool) {
+        let missing = holds_no_lease && coordination.holder.missing_leases(now) > 0;
         let grace = MAJORITY_GRACE_PROMISES * self.lease_config.promise();
         match coordination.majority_monitor.update(now, missing, grace) {
             None => {}
--- a/src/net/cluster/rate_transfers.rs
+++ b/src/net/cluster/rate_transfers.rs
@@ -46,14 +46,14 @@
         let Some((slice, _)) = self.budget_parameters(request.budget) else {
             return self.counters.lost("out_of_place");
         };
-        let (epoch, preferred) = {
+        let (epoch, preferred_holder) = {
             let coordination = lock(&self.coordination);
             (coordination.holder.held_epoch(now, slice), coordination.holder.preferred_holder(slice))
         };
         let Some(epoch) = epoch else {
-            if !from.forwarded && preferred != self.directory.own_process().member {
+            if !from.forwarded && preferred_holder != self.directory.own_process().member {
                 let body = forwarded_body(from.process, RemoteMessage::RateTransferRequest(request));
-                self.send(vec![OutgoingMessage::new(preferred, body)]);
+                self.send(vec![OutgoingMessage::new(preferred_holder, body)]);
             }
             return;
         };
@@ -75,9 +75,10 @@
         let mut ledger = lock(&self.ledger);
         let account = &mut ledger[usize::from(request.budget)];
         account.record_receiver_issued(&request.claim, request.issued);
-        let drift = PER_MILLE + u64::from(self.lease_config.drift);
+        let drift_factor_per_mille = PER_MILLE + u64::from(self.lease_config.drift);
         let lifetime = account.parameters.grant_lifetime;
-        let duration = (lifetime * drift * drift).div_ceil(PER_MILLE * PER_MILLE);
+        let duration =
+            (lifetime * drift_factor_per_mille * drift_factor_per_mille).div_ceil(PER_MILLE * PER_MILLE);
         let allocator = account.allocator(epoch, now);
         let rate = allocator.transfer_out(now, transfer_receiver(&request.claim), request.rate, duration);
         RateTransfer { rate, issued: allocator.issued(), ..request }
--- a/src/net/cluster/workers.rs
+++ b/src/net/cluster/workers.rs
@@ -78,7 +78,7 @@
         while !self.stopping.load(Ordering::SeqCst) {
             let sleep = if is_first { self.time_to_deadline() } else { MAX_SLEEP };
             match task_queue.recv_timeout(sleep) {
-                Ok(task) => self.process(task, is_first),
+                Ok(task) => self.process_task(task, is_first),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
@@ -114,7 +114,7 @@
         Duration::from_micros(deadline.saturating_sub(self.clock.now())).min(MAX_SLEEP)
     }
 
-    fn process(&self, task: Task, is_first: bool) {
+    fn process_task(&self, task: Task, is_first: bool) {
         match task {
             Task::Datagram(datagram) => self.receive_datagram(&datagram),
             Task::RequestGrant(WorkerGrantRequest { budget, request }) => self.request_grant(budget, request),
--- a/tests/shared.rs
+++ b/tests/shared.rs
@@ -19,8 +19,8 @@
 
 /// Finds free addresses by binding them briefly, on a loopback address that only this process uses.
 fn addresses(count: usize) -> Vec<SocketAddr> {
-    let own = std::process::id();
-    let ip = format!("127.{}.{}.7:0", 32 + own / 250 % 90, 1 + own % 250);
+    let process_id = std::process::id();
+    let ip = format!("127.{}.{}.7:0", 32 + process_id / 250 % 90, 1 + process_id % 250);
     let sockets: Vec<UdpSocket> = (0..count).map(|_| UdpSocket::bind(&ip).unwrap()).collect();
     sockets.iter().map(|socket| socket.local_addr().unwrap()).collect()
 }
@@ -57,9 +57,9 @@
 }
 
 fn wait_for(condition: &str, mut is_met: impl FnMut() -> bool) {
-    let since = Instant::now();
+    let start = Instant::now();
     while !is_met() {
-        assert!(since.elapsed() < Duration::from_secs(30), "timed out: {condition}");
+        assert!(start.elapsed() < Duration::from_secs(30), "timed out: {condition}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
@@ -73,8 +73,8 @@
         members.iter().map(|member| member.metric("sagearch_shared_homes ")).sum::<f64>()
     };
     wait_for("each slice has one lease holder", || {
-        let each = members.iter().all(|member| member.metric("sagearch_shared_homes ") >= 1.0);
-        each && held_leases(&members) == 16.0
+        let each_holds_leases = members.iter().all(|member| member.metric("sagearch_shared_homes ") >= 1.0);
+        each_holds_leases && held_leases(&members) == 16.0
     });
     // Each gateway can pay for calls announced in advance, as retries are, even where it does not hold the lease.
     for member in &mut members {
