--- a/src/bin/sagearch-benchlink.rs
+++ b/src/bin/sagearch-benchlink.rs
@@ -1,4 +1,5 @@
-//! Puts the router on the simulator's wire: reads a batch a line from standard input, and writes a line in answer.
+//! Adapter between the simulator and the router: reads one batch of messages per line from standard input, and writes
+//! one line of orders in reply to each.
 
 #![warn(missing_docs)]
 
@@ -6,21 +7,24 @@
 use std::io::{self, BufRead, BufWriter, Write, stdin, stdout};
 use std::process::ExitCode;
 
-/// Why the adapter ended early.
+/// An error that ends the adapter.
 #[derive(Debug, thiserror::Error)]
 enum AdapterError {
+    /// Standard input can't be read.
     #[error("line {line}: {cause}")]
     Read {
         line: usize,
         #[source]
         cause: io::Error,
     },
+    /// A line is not a valid batch.
     #[error("batch on line {line}: {cause}")]
     Batch {
         line: usize,
         #[source]
         cause: WireError,
     },
+    /// A reply can't be written to standard output.
     #[error("line {line}: reply: {cause}")]
     Reply {
         line: usize,
@@ -29,6 +33,7 @@
     },
 }
 
+/// Handles batches until the end of standard input.
 fn run() -> Result<(), AdapterError> {
     let mut gateways = Gateways::default();
     let mut output = BufWriter::new(stdout().lock());
--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -20,7 +20,7 @@
 use crate::net::snapshot::Snapshot;
 use crate::net::upstream::store::{Limits, Stores};
 use crate::net::{Permit, lock};
-use crate::settings::{Connections, Deployment};
+use crate::settings::{ConnectionLimits, Deployment};
 use outstanding::OutstandingAttempts;
 use request::RequestRun;
 use sagearch_feed::lease::Lease;
@@ -81,7 +81,7 @@
     /// How many descriptors the process may use.
     pub sockets: usize,
     /// The settings of connections to stores.
-    pub connections: Connections,
+    pub connections: ConnectionLimits,
     /// Another process accepts at the same listening socket.
     pub socket_shared: bool,
 }
@@ -255,11 +255,11 @@
 }
 
 /// The limits of connections to stores by the settings and the descriptors of the process.
-fn store_limits(connections: Connections, sockets: usize) -> Limits {
+fn store_limits(connections: ConnectionLimits, sockets: usize) -> Limits {
     Limits {
-        streams: connections.streams,
+        streams: connections.streams_per_connection,
         connections: sockets / DESCRIPTORS_PER_STORE_CONNECTION,
-        connect: Duration::from_micros(connections.timeout),
+        connect: Duration::from_micros(connections.connect_timeout),
         // Well before the store closes an idle connection, so that no request crosses with its close.
         idle: Duration::from_micros(connections.keepalive) * 2 / 3,
     }
--- a/src/net/core/shutdown.rs
+++ b/src/net/core/shutdown.rs
@@ -35,7 +35,7 @@
 impl Core {
     /// How many microseconds after SIGTERM the platform kills the process.
     fn termination_grace(&self) -> Micros {
-        self.deployment().names.longest_wait.min(MAX_REQUEST_WAIT) + KILL_DELAY
+        self.deployment().names.longest_deadline.min(MAX_REQUEST_WAIT) + KILL_DELAY
     }
 
     /// How many microseconds after SIGTERM idle connections are left open.
--- a/src/net/lifecycle/gateway.rs
+++ b/src/net/lifecycle/gateway.rs
@@ -210,7 +210,7 @@
         let Config { settings, names, bus, operators, .. } = config;
         let core = &self.core;
         // Only the operators' file can still be rejected; from its commit on nothing fails.
-        let deployment = core.deployment().renewed(settings, names);
+        let deployment = core.deployment().with_settings(settings, names);
         let retune = |deployment: &Deployment| core.retune(deployment, self.sockets);
         let operators = operators.map_err(|faults| ConfigError::new("operators", faults))?;
         let replaced = self.control_side.config.replace_file(operators, deployment, retune);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,9 +1,10 @@
-//! The settings of a deployment, as the simulator's first message and a gateway's configuration state them.
+//! The settings of a deployment, read from the simulator's first message and from a gateway's configuration.
 //!
-//! - `document`: the JSON object; `decode`: its checks and defaults, `error` what they find;
-//! - `names`: the names that it gives to classes, zones and kinds of machines;
-//! - `connections`: its limits for connections to stores;
-//! - `deployment`: all of it, and how new settings follow old ones.
+//! - `document`: the JSON object;
+//! - `decode`: validates the object and fills in defaults; `error`: why an object is rejected;
+//! - `names`: indices of the named classes and zones, and roles of machine kinds;
+//! - `connections`: limits of connections to stores;
+//! - `deployment`: the decoded settings, and their update at run time.
 
 mod connections;
 mod decode;
@@ -12,7 +13,7 @@
 mod error;
 mod names;
 
-pub use connections::Connections;
+pub use connections::ConnectionLimits;
 pub use decode::decode;
 pub use deployment::Deployment;
 pub use error::SettingsError;
--- a/src/settings/connections.rs
+++ b/src/settings/connections.rs
@@ -1,32 +1,36 @@
-//! The limits that the settings put on connections to stores. The policies have no part in them.
+//! Limits of connections to stores, as the settings state them. The routing policies don't use them.
 
 use super::document::Limits;
 use crate::interface::Micros;
 
-/// Defaults where the settings state no limit.
-const DEFAULT_STREAMS: usize = 100;
-const DEFAULT_TIMEOUT: Micros = 400_000;
+/// Defaults for limits that the settings don't state.
+const DEFAULT_STREAMS_PER_CONNECTION: usize = 100;
+const DEFAULT_CONNECT_TIMEOUT: Micros = 400_000;
 const DEFAULT_KEEPALIVE: Micros = 30_000_000;
 
-/// The limits of connections to stores.
+/// Limits of connections to stores.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Connections {
-    /// The most attempts in flight on one connection.
-    pub streams: usize,
-    /// The longest time that opening a connection may take, in microseconds.
-    pub timeout: Micros,
-    /// Stores close connections that have been idle for this long, in microseconds.
+pub struct ConnectionLimits {
+    /// The maximum number of attempts in flight on one connection.
+    pub streams_per_connection: usize,
+    /// The time limit for opening a connection, in microseconds.
+    pub connect_timeout: Micros,
+    /// The idle time after which stores close a connection, in microseconds.
     pub keepalive: Micros,
-    /// Whether stores may be sent health checks.
+    /// Whether the gateway may send health checks to stores.
     pub probes: bool,
 }
 
-impl From<&Limits> for Connections {
-    fn from(limits: &Limits) -> Connections {
-        let or_default = |span: Micros, default| if span > 0 { span } else { default };
-        Connections {
-            streams: if limits.streams_per_conn > 0 { limits.streams_per_conn } else { DEFAULT_STREAMS },
-            timeout: or_default(limits.connect_timeout, DEFAULT_TIMEOUT),
+impl From<&Limits> for ConnectionLimits {
+    fn from(limits: &Limits) -> ConnectionLimits {
+        let or_default = |duration: Micros, default| if duration > 0 { duration } else { default };
+        ConnectionLimits {
+            streams_per_connection: if limits.streams_per_conn > 0 {
+                limits.streams_per_conn
+            } else {
+                DEFAULT_STREAMS_PER_CONNECTION
+            },
+            connect_timeout: or_default(limits.connect_timeout, DEFAULT_CONNECT_TIMEOUT),
             keepalive: or_default(limits.keepalive, DEFAULT_KEEPALIVE),
             probes: limits.probes,
         }
--- a/src/settings/decode.rs
+++ b/src/settings/decode.rs
@@ -1,30 +1,31 @@
-//! Decodes and checks the settings object, and fills in defaults.
+//! Decodes and validates the settings object, and fills in defaults.
 
 use super::document::{ClassEntry, FamilyInfo, SettingsDocument};
-use super::{Connections, Deployment, LoadReportFields, Names, SettingsError};
+use super::{ConnectionLimits, Deployment, LoadReportFields, Names, SettingsError};
 use crate::interface::{Class, DeduplicationGroup, Idempotency, Micros, Role, Settings, SlowStartRule, Zone};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// The length of a tick where the settings state none, in microseconds.
+/// The tick length, in microseconds, where the settings state none.
 const DEFAULT_TICK: Micros = 2_000;
 
 /// Decodes a settings object.
 ///
 /// # Errors
 ///
-/// [`SettingsError`] where a key is missing or has a value that can't be used.
+/// [`SettingsError`] if a key is missing or has an unusable value.
 pub fn decode(object: Value) -> Result<Deployment, SettingsError> {
     let document: SettingsDocument = serde_json::from_value(object)?;
-    check(&document)?;
-    let classes = (0..document.classes.len()).map(|at| class(&document, at)).collect::<Result<_, _>>()?;
-    let names = names(&document)?;
-    let settings = settings(&document, classes, names.zone);
+    validate(&document)?;
+    let classes =
+        (0..document.classes.len()).map(|index| decode_class(&document, index)).collect::<Result<_, _>>()?;
+    let names = decode_names(&document)?;
+    let settings = policy_settings(&document, classes, names.zone);
     Ok(Deployment { settings, names })
 }
 
-/// Checks what concerns all classes.
-fn check(document: &SettingsDocument) -> Result<(), SettingsError> {
+/// Checks the attempt limit, and that each list of values per class has one entry for each class.
+fn validate(document: &SettingsDocument) -> Result<(), SettingsError> {
     if document.limits.send_cap == 0 {
         return Err(SettingsError::NoAttempts);
     }
@@ -37,10 +38,10 @@
     Ok(())
 }
 
-/// The class at this position of the document.
-fn class(document: &SettingsDocument, at: usize) -> Result<Class, SettingsError> {
-    let (entry, info) = (&document.classes[at], &document.family_info);
-    let idempotency = idempotency(entry)?;
+/// Decodes the class at this index of the document's list.
+fn decode_class(document: &SettingsDocument, index: usize) -> Result<Class, SettingsError> {
+    let (entry, info) = (&document.classes[index], &document.family_info);
+    let idempotency = decode_idempotency(entry)?;
     if entry.deadline == 0 {
         return Err(SettingsError::NoDeadline { class: entry.name.clone() });
     }
@@ -51,13 +52,13 @@
         priority_weight: entry.credit,
         late_weight_share: entry.late_value,
         idempotency,
-        fresh: info.class_fresh.get(at).copied().filter(|fresh| *fresh > 0),
-        uncacheable: info.pass_on.get(at).copied().unwrap_or(false),
+        fresh: info.class_fresh.get(index).copied().filter(|fresh| *fresh > 0),
+        uncacheable: info.pass_on.get(index).copied().unwrap_or(false),
         max_attempts: document.limits.send_cap,
     })
 }
 
-fn idempotency(entry: &ClassEntry) -> Result<Idempotency, SettingsError> {
+fn decode_idempotency(entry: &ClassEntry) -> Result<Idempotency, SettingsError> {
     let group = match entry.group.as_str() {
         "zone" => DeduplicationGroup::Zone,
         "cell" => DeduplicationGroup::Cell,
@@ -71,49 +72,50 @@
     }
 }
 
-/// The index of each name in a list.
-fn indices<'a>(names: impl Iterator<Item = &'a String>) -> BTreeMap<String, usize> {
-    names.enumerate().map(|(at, name)| (name.clone(), at)).collect()
+/// Maps each name of a list to its index.
+fn indices_by_name<'a>(names: impl Iterator<Item = &'a String>) -> BTreeMap<String, usize> {
+    names.enumerate().map(|(index, name)| (name.clone(), index)).collect()
 }
 
-/// The roles of the kinds of machines, by their position in the list.
-fn roles(kinds: &[String], info: &FamilyInfo) -> BTreeMap<String, Role> {
-    let role = |at: usize| {
-        let at = i64::try_from(at).ok();
-        if at == info.source_kind {
+/// Maps each machine kind to its role. `info` states the kinds of parents and origins by their index in the list.
+fn roles_by_kind(kinds: &[String], info: &FamilyInfo) -> BTreeMap<String, Role> {
+    let role = |index: usize| {
+        let index = i64::try_from(index).ok();
+        if index == info.source_kind {
             Role::Origin
-        } else if at == info.mid_kind {
+        } else if index == info.mid_kind {
             Role::Parent
         } else {
             Role::Cache
         }
     };
-    kinds.iter().enumerate().map(|(at, kind)| (kind.clone(), role(at))).collect()
+    kinds.iter().enumerate().map(|(index, kind)| (kind.clone(), role(index))).collect()
 }
 
-fn names(document: &SettingsDocument) -> Result<Names, SettingsError> {
-    let zones = indices(document.zones.iter());
+fn decode_names(document: &SettingsDocument) -> Result<Names, SettingsError> {
+    let zones = indices_by_name(document.zones.iter());
     let unknown_zone = || SettingsError::UnknownZone { zone: document.zone.clone() };
     let zone = *zones.get(&document.zone).ok_or_else(unknown_zone)?;
-    let field = |name: &str| document.report.fields.iter().position(|field| field == name);
+    let field_index = |name: &str| document.report.fields.iter().position(|field| field == name);
     Ok(Names {
-        classes: indices(document.classes.iter().map(|class| &class.name)),
+        classes: indices_by_name(document.classes.iter().map(|class| &class.name)),
         zones,
         zone,
-        roles: roles(&document.kinds, &document.family_info),
-        load_report: LoadReportFields { in_flight: field("rif"), busy: field("busy") },
-        connections: Connections::from(&document.limits),
-        longest_wait: document.classes.iter().map(|class| class.deadline).max().unwrap_or(0),
+        roles: roles_by_kind(&document.kinds, &document.family_info),
+        load_report: LoadReportFields { in_flight: field_index("rif"), busy: field_index("busy") },
+        connections: ConnectionLimits::from(&document.limits),
+        longest_deadline: document.classes.iter().map(|class| class.deadline).max().unwrap_or(0),
     })
 }
 
-/// What the policies need of the settings.
-fn settings(document: &SettingsDocument, classes: Vec<Class>, zone: usize) -> Settings {
+/// Builds the settings of the routing policies.
+fn policy_settings(document: &SettingsDocument, classes: Vec<Class>, zone: usize) -> Settings {
     let (info, limits, rules) = (&document.family_info, &document.limits, &document.obligations);
-    let routers_at = |at: usize| info.zone_balancers.get(at).copied().unwrap_or(document.instances);
+    let routers_in_zone =
+        |index: usize| info.zone_balancers.get(index).copied().unwrap_or(document.instances);
     Settings {
         classes,
-        zones: (0..document.zones.len()).map(|at| Zone { routers: routers_at(at) }).collect(),
+        zones: (0..document.zones.len()).map(|index| Zone { routers: routers_in_zone(index) }).collect(),
         zone,
         routers: document.instances,
         pace_kb_per_s: info.pace_kb_per_s,
--- a/src/settings/deployment.rs
+++ b/src/settings/deployment.rs
@@ -1,23 +1,23 @@
-//! All that the settings in force state, and how new settings follow old ones.
+//! The decoded settings of a deployment, and their update at run time.
 
 use super::Names;
 use crate::interface::{Class, Settings, Zone};
 use std::collections::BTreeMap;
 
-/// All that the settings in force state.
+/// The decoded settings of a deployment.
 #[derive(Clone)]
 pub struct Deployment {
-    /// What the policies need.
+    /// The settings of the routing policies.
     pub settings: Settings,
-    /// Names, and limits of connections.
+    /// Names of classes, zones and machine kinds, and limits of connections.
     pub names: Names,
 }
 
 impl Deployment {
-    /// The deployment under new settings. Classes and zones keep their indices, because open requests and listed members
-    /// refer to them: a class that is new or has changed is appended.
+    /// Returns the deployment under new settings. Classes and zones keep their indices, because open requests and
+    /// listed members refer to them: a class that is new or has changed is appended.
     #[must_use]
-    pub fn renewed(&self, mut settings: Settings, mut names: Names) -> Deployment {
+    pub fn with_settings(&self, mut settings: Settings, mut names: Names) -> Deployment {
         settings.classes = self.append_classes(&settings.classes, &mut names.classes);
         let mut indices = self.names.zones.clone();
         let mut zones = self.settings.zones.clone();
@@ -35,11 +35,12 @@
         Deployment { settings, names }
     }
 
-    /// The classes so far, followed by those of `new` that are not among them. `indices` refers to them from now on.
-    fn append_classes(&self, new: &[Class], indices: &mut BTreeMap<String, usize>) -> Vec<Class> {
+    /// Returns the current classes, followed by those of `new_classes` that are not among them. Changes `indices` from
+    /// positions in `new_classes` to positions in the returned list.
+    fn append_classes(&self, new_classes: &[Class], indices: &mut BTreeMap<String, usize>) -> Vec<Class> {
         let mut classes = self.settings.classes.clone();
         for index in indices.values_mut() {
-            let class = &new[*index];
+            let class = &new_classes[*index];
             *index = classes.iter().position(|known| known == class).unwrap_or(classes.len());
             if *index == classes.len() {
                 classes.push(class.clone());
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,15 +1,15 @@
-//! Why settings can't be used.
+//! Errors in the settings object.
 
-/// Why settings can't be used. Each message names the key at fault.
+/// An error in the settings object. The message names the key.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// A key is missing or has a value of another type.
     #[error("unusable settings: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// Requests would have no attempt.
+    /// The attempt limit is 0, so that no request could be sent.
     #[error("unusable settings: Limits.SendCap is not over 0")]
     NoAttempts,
-    /// A list by class has not one entry for each class.
+    /// The length of a list of values per class differs from the number of classes.
     #[error("unusable settings: FamilyInfo.{key} has {entries} entries for {classes} classes")]
     ListByClass {
         /// The key of the list.
@@ -19,21 +19,21 @@
         /// The number of classes.
         classes: usize,
     },
-    /// The effect of a class is not known.
+    /// The `Effect` of a class, which states its idempotency, is not a known value.
     #[error("unusable settings: effect {effect:?} of class {class:?} is none of free, guarded, single_shot")]
     UnknownEffect {
         /// The name of the class.
         class: String,
-        /// The stated effect.
+        /// The value found.
         effect: String,
     },
-    /// Requests of a class would have no time.
+    /// The deadline of a class is 0.
     #[error("unusable settings: the deadline of {class:?} is not over 0")]
     NoDeadline {
         /// The name of the class.
         class: String,
     },
-    /// The gateway's own zone is not one of the zones.
+    /// The gateway's own zone is not in the list of zones.
     #[error("unusable settings: zone {zone:?} is not listed")]
     UnknownZone {
         /// The name of the gateway's zone.
--- a/src/settings/names.rs
+++ b/src/settings/names.rs
@@ -1,39 +1,39 @@
-//! The names that the settings give to classes, zones and kinds of machines.
+//! Names of classes, zones and machine kinds in the settings.
 
-use super::Connections;
+use super::ConnectionLimits;
 use crate::interface::{Micros, Role};
 use std::collections::BTreeMap;
 
-/// The positions of the fields of a load report that are used; `None`: the stores don't report it.
+/// Indices of the used fields in a load report. `None` for a field that the stores don't report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReportFields {
-    /// The requests in flight at the store.
+    /// The number of requests in flight at the store.
     pub in_flight: Option<usize>,
-    /// How busy the store is.
+    /// The share of the store's processor time in use.
     pub busy: Option<usize>,
 }
 
-/// What one gateway's settings state beside what the policies need: names, and limits of connections.
+/// The settings of one gateway that the routing policies don't use: names, and limits of connections.
 #[derive(Clone)]
 pub struct Names {
-    /// The index of each class in the settings of the policies, by its name.
+    /// The index of each class in the policies' settings, by class name.
     pub classes: BTreeMap<String, usize>,
-    /// The index of each zone in the settings of the policies, by its name.
+    /// The index of each zone in the policies' settings, by zone name.
     pub zones: BTreeMap<String, usize>,
     /// The index of the gateway's own zone.
     pub zone: usize,
-    /// The roles of the kinds of machines.
+    /// The role of each machine kind, by its name.
     pub roles: BTreeMap<String, Role>,
-    /// Where load reports state the load.
+    /// Indices of the used fields in load reports.
     pub load_report: LoadReportFields,
     /// Limits of connections to stores.
-    pub connections: Connections,
-    /// The longest deadline of any class, in microseconds: no client waits longer.
-    pub longest_wait: Micros,
+    pub connections: ConnectionLimits,
+    /// The longest deadline of any class, in microseconds. No client waits longer.
+    pub longest_deadline: Micros,
 }
 
 impl Names {
-    /// The role that a kind of machine has. A kind that is not listed is a cache.
+    /// Returns the role of a machine kind. A kind that is not listed is a cache.
     pub fn role(&self, kind: &str) -> Role {
         self.roles.get(kind).copied().unwrap_or(Role::Cache)
     }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,8 +1,8 @@
-//! Translation between the simulator's wire and the router's interface. Decides nothing.
+//! Translates between the simulator's JSON protocol and the router's interface. All decisions are the router's.
 //!
-//! - `message`: the messages of a batch; `event`: the router's events that they stand for;
-//! - `order`: the router's actions, as they are answered;
-//! - `error`: why a batch can't be answered.
+//! - `message`: incoming messages; `event`: their conversion to events of the router;
+//! - `order`: conversion of the router's actions to outgoing orders;
+//! - `error`: why a batch is rejected.
 
 mod error;
 mod event;
@@ -14,29 +14,30 @@
 use crate::Router;
 use crate::interface::Micros;
 use crate::settings::{self, Deployment, Names};
-use event::event;
+use event::event_from_message;
 use message::{Attach, Batch, Message};
-use order::{bug, order};
+use order::{bug_order, order_from_action};
 use serde_json::{Value, json};
 use std::any::Any;
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
+/// A simulated gateway.
 struct Gateway {
     router: Router,
     names: Names,
 }
 
-/// The gateways of one adapter process, by their ids. They share nothing.
+/// The gateways of one adapter process, by id. They share no state.
 #[derive(Default)]
 pub struct Gateways(BTreeMap<u64, Gateway>);
 
 impl Gateways {
-    /// Answers a batch, which is one line of JSON, with another one.
+    /// Handles a batch of messages, given as one line of JSON, and returns the orders as another line.
     ///
     /// # Errors
     ///
-    /// [`WireError`] where the line is not a batch, or one of its messages can't be used.
+    /// [`WireError`] if the line is not a batch, or one of its messages has an invalid value.
     pub fn answer(&mut self, line: &str) -> Result<String, WireError> {
         let Batch { now, serial, messages } = serde_json::from_str(line)?;
         let mut orders = Vec::new();
@@ -47,7 +48,7 @@
         Ok(json!({"serial": serial, "orders": orders}).to_string())
     }
 
-    /// Handles a message. Messages to gateways that are not attached are ignored.
+    /// Handles a message. Messages to gateways that are not running are ignored.
     fn handle(&mut self, now: Micros, message: Message, orders: &mut Vec<Value>) -> Result<(), MessageError> {
         let id = message.gateway();
         let message = match message {
@@ -62,17 +63,17 @@
             message => message,
         };
         let Some(gateway) = self.0.get_mut(&id) else { return Ok(()) };
-        let Some(event) = event(&gateway.names, message)? else { return Ok(()) };
+        let Some(event) = event_from_message(&gateway.names, message)? else { return Ok(()) };
         let mut actions = Vec::new();
-        let run = catch_unwind(AssertUnwindSafe(|| gateway.router.handle(now, event, &mut actions)));
-        orders.extend(actions.iter().map(|action| order(id, action)));
-        if let Err(cause) = run {
-            orders.push(bug(id, &panic_text(cause.as_ref())));
+        let result = catch_unwind(AssertUnwindSafe(|| gateway.router.handle(now, event, &mut actions)));
+        orders.extend(actions.iter().map(|action| order_from_action(id, action)));
+        if let Err(cause) = result {
+            orders.push(bug_order(id, &panic_text(cause.as_ref())));
         }
         Ok(())
     }
 
-    /// Starts a gateway. Returns the order that reports why its settings can't be used, if so.
+    /// Starts a gateway. If its settings are invalid, returns the order that reports the error.
     fn attach(&mut self, attach: Attach) -> Option<Value> {
         let id = attach.gateway_id;
         match settings::decode(attach.env) {
@@ -81,11 +82,12 @@
                 self.0.insert(id, Gateway { router: Router::new(settings, seed), names });
                 None
             }
-            Err(error) => Some(bug(id, &error.to_string())),
+            Err(error) => Some(bug_order(id, &error.to_string())),
         }
     }
 }
 
+/// Returns the message of a panic.
 fn panic_text(cause: &(dyn Any + Send)) -> String {
     let text = cause.downcast_ref::<String>().map(String::as_str);
     let text = text.or(cause.downcast_ref::<&str>().copied());
--- a/src/wire/error.rs
+++ b/src/wire/error.rs
@@ -1,40 +1,40 @@
-//! Why a batch can't be answered.
+//! Errors in batches of messages.
 
 use std::num::ParseIntError;
 
-/// Why a batch can't be answered.
+/// An error in a batch of messages.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
-    /// The line is not a batch. The message names the column.
+    /// The line is not a valid batch. The text names the column.
     #[error("malformed: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// A message of the batch can't be used.
+    /// A message of the batch has an invalid value.
     #[error("batch {serial}: {cause}")]
     Message {
-        /// The number of the batch.
+        /// The serial number of the batch.
         serial: u64,
-        /// What is wrong with the message.
+        /// The error in the message.
         #[source]
         cause: MessageError,
     },
 }
 
-/// What is wrong with a message.
+/// An invalid value in a message.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
-    /// The id of a request is not a hexadecimal number.
+    /// A request id is not a hexadecimal number.
     #[error("request id {id:?}: {cause}")]
     RequestId {
-        /// The id.
+        /// The id found.
         id: String,
-        /// Why it is none.
+        /// The parse error.
         #[source]
         cause: ParseIntError,
     },
-    /// The state of a member is not known.
+    /// The state of a member is not a known value.
     #[error("readiness {0:?}")]
     Readiness(String),
-    /// The kind of a list of members is not known.
+    /// The kind of a member list is not a known value.
     #[error("list mode {0:?}")]
     ListMode(String),
 }
--- a/src/wire/event.rs
+++ b/src/wire/event.rs
@@ -1,4 +1,4 @@
-//! The messages of the simulator's wire, as events of the router.
+//! Converts the simulator's messages to events of the router.
 
 use super::error::MessageError;
 use super::message::{Members, Message, Node, Response, WireRequest};
@@ -8,14 +8,14 @@
 };
 use crate::settings::Names;
 
-/// The event of a message; `None`: the router has no part in it.
+/// Converts a message to an event. `None` for a message that doesn't concern the router.
 ///
 /// # Errors
 ///
-/// [`MessageError`] where the message has a value that is not known.
-pub(super) fn event(names: &Names, message: Message) -> Result<Option<Event>, MessageError> {
+/// [`MessageError`] if the message has an invalid value.
+pub(super) fn event_from_message(names: &Names, message: Message) -> Result<Option<Event>, MessageError> {
     let event = match message {
-        Message::Members(list) => return members(names, list),
+        Message::Members(list) => return members_event(names, list),
         Message::Request(message) => Event::Request(request(names, message)?),
         Message::Flowing(message) => Event::Streaming { request: request_id(&message.corr)? },
         Message::Wake(wake) => match wake.nonce.parse() {
@@ -41,8 +41,8 @@
     id.map(RequestId).map_err(|cause| MessageError::RequestId { id: corr.into(), cause })
 }
 
-/// A list of members. One that reports an error of discovery changes nothing.
-fn members(names: &Names, list: Members) -> Result<Option<Event>, MessageError> {
+/// Converts a member list. `None` for a list that reports a discovery error: the known members stay in use.
+fn members_event(names: &Names, list: Members) -> Result<Option<Event>, MessageError> {
     let kind = match list.mode.as_str() {
         "Complete" | "Persisted" => ListKind::Complete,
         "Partial" => ListKind::Changes,
@@ -66,7 +66,7 @@
         zone: names.zones.get(&node.dc).copied(),
         cell: node.bay,
         weight: node.rating,
-        started: Some(node.ready_at).filter(|at| *at > 0),
+        started: Some(node.ready_at).filter(|started| *started > 0),
         state,
     })
 }
@@ -89,21 +89,21 @@
         request: request_id(&response.corr)?,
         member: MemberId(response.cache),
         attempt: response.seq_no,
-        outcome: outcome(&response.code),
-        detail: detail(response.detail),
+        outcome: outcome_from_code(&response.code),
+        detail: detail_from_number(response.detail),
         elapsed: response.time_taken,
         finished: response.over,
-        load: load(names, response.stats.as_deref()),
+        load: load_report(names, response.stats.as_deref()),
     })
 }
 
-/// The load report of a response, whose fields the settings name.
-fn load(names: &Names, stats: Option<&[Option<f64>]>) -> Load {
-    let field = |at: Option<usize>| stats.and_then(|stats| stats.get(at?).copied().flatten());
-    Load { inflight: field(names.load_report.in_flight), busy: field(names.load_report.busy) }
+/// Reads the load report of a response. The settings state which of its values are used.
+fn load_report(names: &Names, stats: Option<&[Option<f64>]>) -> Load {
+    let value = |index: Option<usize>| stats.and_then(|stats| stats.get(index?).copied().flatten());
+    Load { inflight: value(names.load_report.in_flight), busy: value(names.load_report.busy) }
 }
 
-fn outcome(code: &str) -> Outcome {
+fn outcome_from_code(code: &str) -> Outcome {
     match code {
         "Ok" => Outcome::Served,
         "Failed" => Outcome::Failed,
@@ -118,7 +118,7 @@
     }
 }
 
-fn detail(number: u32) -> Detail {
+fn detail_from_number(number: u32) -> Detail {
     match number {
         1 => Detail::Hit,
         2 => Detail::Filled,
--- a/src/wire/order.rs
+++ b/src/wire/order.rs
@@ -1,15 +1,15 @@
-//! The router's actions, as the orders of the simulator's wire.
+//! Converts the router's actions to the simulator's orders.
 
 use crate::interface::{Action, Fill, MemberId, Micros, RequestId};
 use serde_json::{Value, json};
 
-/// The bits of a fill's switches.
-const JOIN: u8 = 1;
-const CACHED_ONLY: u8 = 2;
-const BACKGROUND_REFRESH: u8 = 8;
+/// Bits of `Switches` in an order to fill.
+const JOIN_BIT: u8 = 1;
+const CACHED_ONLY_BIT: u8 = 2;
+const BACKGROUND_REFRESH_BIT: u8 = 8;
 
-/// The order for an action of a gateway's router.
-pub(super) fn order(gateway: u64, action: &Action) -> Value {
+/// Converts an action of a gateway's router to an order.
+pub(super) fn order_from_action(gateway: u64, action: &Action) -> Value {
     match action {
         Action::Attempt { request, member, timeout, fill: None } => json!({"DISPATCH": {
             "GatewayId": gateway, "Corr": hex(*request), "Cache": member.0, "MaxWait": timeout}}),
@@ -26,20 +26,20 @@
     }
 }
 
-/// An attempt with the terms of its fill. A member without another source is its own.
+/// Builds the order for an attempt with fill options. Without a fill source, `Source` is the member itself.
 fn fill_order(gateway: u64, request: RequestId, member: MemberId, timeout: Micros, fill: &Fill) -> Value {
-    let bit = |is_set: bool, bit: u8| if is_set { bit } else { 0 };
-    let switches = bit(fill.join, JOIN)
-        | bit(fill.cached_only, CACHED_ONLY)
-        | bit(fill.background_refresh, BACKGROUND_REFRESH);
+    let bit_if = |is_set: bool, bit: u8| if is_set { bit } else { 0 };
+    let switches = bit_if(fill.join, JOIN_BIT)
+        | bit_if(fill.cached_only, CACHED_ONLY_BIT)
+        | bit_if(fill.background_refresh, BACKGROUND_REFRESH_BIT);
     json!({"LOOK_AND_FILL": {
         "GatewayId": gateway, "Corr": hex(request), "Cache": member.0, "MaxWait": timeout,
         "CopyAge": fill.max_age, "Keep": fill.cache_rank, "Switches": switches,
         "Source": fill.source.unwrap_or(member).0}})
 }
 
-/// The order that reports a fault of the gateway itself.
-pub(super) fn bug(gateway: u64, text: &str) -> Value {
+/// Builds the order that reports an internal error of the gateway.
+pub(super) fn bug_order(gateway: u64, text: &str) -> Value {
     json!({"BUG": {"GatewayId": gateway, "Msg": text}})
 }
 
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -3,7 +3,7 @@
 mod stand;
 use rstest::rstest;
 use sagearch::config::decode;
-use sagearch::settings::Connections;
+use sagearch::settings::ConnectionLimits;
 use sagearch_operators::{self as operators, Operators, tls::ClientAuth};
 use serde_json::{Value, json};
 use stand::*;
@@ -36,13 +36,21 @@
     let mut told = good();
     let connections = |config: &Value| decode(&config.to_string(), None, None).unwrap().names.connections;
     let silent = connections(&told);
-    assert_eq!((silent.streams, silent.timeout, silent.keepalive), (100, 400_000, 30_000_000));
+    assert_eq!(
+        (silent.streams_per_connection, silent.connect_timeout, silent.keepalive),
+        (100, 400_000, 30_000_000)
+    );
     let limits = &mut told["settings"]["Limits"];
     limits["StreamsPerConn"] = json!(1);
     limits["ConnectTimeout"] = json!(250_000);
     limits["Keepalive"] = json!(9_000_000);
     limits["Probes"] = json!(false);
-    let want = Connections { streams: 1, timeout: 250_000, keepalive: 9_000_000, probes: false };
+    let want = ConnectionLimits {
+        streams_per_connection: 1,
+        connect_timeout: 250_000,
+        keepalive: 9_000_000,
+        probes: false,
+    };
     assert_eq!(connections(&told), want);
     let names = decode(&told.to_string(), None, None).unwrap().names;
     let front = "dns domain=\"a.test\" listen=\"127.0.0.1:53\"";
--- a/tests/deadlines.rs
+++ b/tests/deadlines.rs
@@ -30,7 +30,8 @@
     const WAIT: Duration = Duration::from_secs(3);
     let (bus, late) = (Bus::default(), LateStore::new());
     let origin = late.listed_as(Store::new(9, |_, _| Do::Nothing).origin());
-    let gateway = gateway_by(&bus, &[origin], |config| config.names.connections.timeout = CONNECT_TIMEOUT_US);
+    let gateway =
+        gateway_by(&bus, &[origin], |config| config.names.connections.connect_timeout = CONNECT_TIMEOUT_US);
     let sent = Instant::now();
     let _client = send(gateway.listen, &request("once/f", 1, WAIT.as_millis() as u64, LARGE));
     thread::sleep(Duration::from_millis(400));
--- a/tests/rare_moments/client_departure.rs
+++ b/tests/rare_moments/client_departure.rs
@@ -81,7 +81,7 @@
     let bus = Bus::default();
     let late = LateStore::new();
     let entry = late.listed_as(Store::new(1, |_, _| ok(b"x")).cache());
-    let gateway = gateway_by(&bus, &[entry], |config| config.names.connections.timeout = 4_000_000);
+    let gateway = gateway_by(&bus, &[entry], |config| config.names.connections.connect_timeout = 4_000_000);
     let asked = send(gateway.listen, &request(OBJECT, 1, 5_000, "Req-Kb: 40000\r\n"));
     wait_for("it is taken", || gateway.core.broker().open_requests() == 1);
     thread::sleep(Duration::from_millis(50));
--- a/tests/stand/mod.rs
+++ b/tests/stand/mod.rs
@@ -269,7 +269,7 @@
 }
 
 pub fn gateway_with_streams(bus: &Bus, instances: &[Value], streams: usize) -> Gateway {
-    start(bus, instances, 1024, |config| config.names.connections.streams = streams)
+    start(bus, instances, 1024, |config| config.names.connections.streams_per_connection = streams)
 }
 
 /// One under settings of another deployment.
