--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The built adapter over its standard input and output.
+//! Runs the built adapter, with batches on its standard input and replies on its standard output.
 
 use serde_json::{Value, json};
 use std::io::Write;
@@ -12,15 +12,15 @@
         .spawn()
         .unwrap();
     let mut input = child.stdin.take().unwrap();
-    // The adapter may end before it has read all.
+    // The write fails if the adapter exits before it has read all lines.
     let _ = input.write_all((lines.join("\n") + "\n").as_bytes());
     drop(input);
     child.wait_with_output().unwrap()
 }
 
 #[expect(clippy::needless_pass_by_value, reason = "callers hand in a value that they make in place")]
-fn batch(serial: u64, news: Value) -> String {
-    json!({"Ts": 1_000_000 + serial * 10_000, "serial": serial, "news": news}).to_string()
+fn batch(serial: u64, messages: Value) -> String {
+    json!({"Ts": 1_000_000 + serial * 10_000, "serial": serial, "news": messages}).to_string()
 }
 
 fn env() -> Value {
@@ -30,7 +30,7 @@
         "FamilyInfo": {"ClassFresh": [0], "Collapses": true, "MidKind": 1, "PaceKbPerS": 1000.0,
             "ParentCold": 9_000_000, "ParentLimitFactor": 2.0, "PassOn": [false], "PurgeTakes": 6_000_000,
             "SourceKind": 2, "Straight": false, "UpperColdFrom": 0.1, "ZoneBalancers": [1, 0], "New": 1},
-        "Instances": 1, "Kinds": ["std", "parent", "origin"], "Unheard": {"of": 1},
+        "Instances": 1, "Kinds": ["std", "parent", "origin"], "UnknownKey": {"field": 1},
         "Limits": {"MayCancel": true, "MaxRetryAfter": 500_000, "RetryAfter": true, "SendCap": 4},
         "Obligations": {"Fall": 2_000_000, "FallMultiple": 2.0, "StartCapacity": 0.2, "WarmUp": 9_000_000},
         "Report": {"Fields": ["rif", "x0"], "Source": "piggyback"},
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_request_is_sent_on_with_its_ids_unaltered() {
+fn request_is_dispatched_with_unaltered_ids() {
     let output = run(&[
         batch(1, start(3)),
         batch(2, json!([request(3, "00efd6cc5d3a91c4")])),
@@ -83,15 +83,15 @@
 }
 
 #[test]
-fn ids_no_longer_held_and_stopped_gateways_are_passed_over() {
+fn messages_with_unknown_ids_or_for_a_stopped_gateway_are_ignored() {
     let output = run(&[
         batch(1, start(3)),
         batch(
             2,
             json!([
                 {"EXPIRED": {"GatewayId": 3, "Corr": "0000000000000001"}},
-                {"WAKE": {"GatewayId": 3, "Nonce": "sweep"}},
-                {"RESPONSE": {"GatewayId": 3, "Corr": "0000000000000002", "Cache": 7, "Code": "Odd"}},
+                {"WAKE": {"GatewayId": 3, "Nonce": "not-a-number"}},
+                {"RESPONSE": {"GatewayId": 3, "Corr": "0000000000000002", "Cache": 7, "Code": "UnknownCode"}},
                 {"HALT": {"GatewayId": 3}},
                 request(3, "0000000000000003")
             ]),
@@ -102,14 +102,14 @@
 }
 
 #[test]
-fn an_unknown_outcome_counts_as_may_have_run_and_is_tried_again_where_harmless() {
+fn idempotent_request_with_an_unknown_outcome_is_retried_or_refused() {
     let output = run(&[
         batch(1, start(3)),
         batch(2, json!([request(3, "00000000000000aa")])),
         batch(
             3,
             json!([{"RESPONSE": {"GatewayId": 3, "Corr": "00000000000000aa", "Cache": 4_000_000_001_u32,
-            "TimeTaken": 9000, "Code": "Strange", "SeqNo": 0}}]),
+            "TimeTaken": 9000, "Code": "UnknownCode", "SeqNo": 0}}]),
         ),
     ]);
     assert!(output.status.success());
@@ -118,53 +118,56 @@
 }
 
 #[test]
-fn a_malformed_line_ends_with_a_message_and_a_status() {
-    for broken in ["{\"Ts\":1,", "{\"Ts\":1,\"serial\":2,\"news\":[{\"NOVEL\":{\"GatewayId\":3}}]}"] {
-        let output = run(&[batch(1, start(3)), broken.to_string(), batch(3, json!([]))]);
+fn malformed_line_ends_the_adapter_with_an_error_message_and_status() {
+    for malformed in
+        ["{\"Ts\":1,", "{\"Ts\":1,\"serial\":2,\"news\":[{\"UNKNOWN_MESSAGE\":{\"GatewayId\":3}}]}"]
+    {
+        let output = run(&[batch(1, start(3)), malformed.to_string(), batch(3, json!([]))]);
         assert!(!output.status.success());
         assert_eq!(replies(&output).len(), 1);
         let message = String::from_utf8(output.stderr).unwrap();
         assert!(message.contains("batch on line 2"), "{message}");
     }
-    let odd = batch(8, json!([{"MEMBERS": {"GatewayId": 3, "Mode": "Sideways", "Serial": 1}}]));
-    let output = run(&[batch(1, start(3)), odd]);
+    let unknown_mode = batch(8, json!([{"MEMBERS": {"GatewayId": 3, "Mode": "UnknownMode", "Serial": 1}}]));
+    let output = run(&[batch(1, start(3)), unknown_mode]);
     let message = String::from_utf8(output.stderr).unwrap();
-    assert!(message.contains("batch 8") && message.contains("Sideways"), "{message}");
+    assert!(message.contains("batch 8") && message.contains("UnknownMode"), "{message}");
 }
 
 #[test]
-fn unusable_settings_become_the_fault_message() {
-    let news = json!([{"ATTACH": {"GatewayId": 3, "Entropy": 1, "Env": {"Zone": "near"}}}]);
-    let output = run(&[batch(1, news)]);
+fn unusable_settings_are_reported_in_a_bug_order() {
+    let messages = json!([{"ATTACH": {"GatewayId": 3, "Entropy": 1, "Env": {"Zone": "near"}}}]);
+    let output = run(&[batch(1, messages)]);
     assert!(output.status.success());
-    let fault = &replies(&output)[0]["orders"][0]["BUG"];
-    assert_eq!(fault["GatewayId"], 3);
-    assert!(fault["Msg"].as_str().unwrap().contains("unusable settings"));
+    let bug = &replies(&output)[0]["orders"][0]["BUG"];
+    assert_eq!(bug["GatewayId"], 3);
+    assert!(bug["Msg"].as_str().unwrap().contains("unusable settings"));
 }
 
 #[test]
-fn gateways_in_one_process_act_as_in_processes_of_their_own() {
-    let news = |gateways: &[u64], serial: u64| {
-        let asked =
+fn gateways_in_one_process_decide_as_in_separate_processes() {
+    let request_batch = |gateways: &[u64], serial: u64| {
+        let requests =
             gateways.iter().map(|gateway| request(*gateway, &format!("{:016x}", serial * 100 + gateway)));
-        batch(serial, asked.collect::<Vec<_>>().into())
+        batch(serial, requests.collect::<Vec<_>>().into())
     };
-    let starts = |gateways: &[u64]| {
-        let all: Vec<Value> = gateways.iter().flat_map(|id| start(*id).as_array().unwrap().clone()).collect();
-        batch(1, all.into())
+    let start_batch = |gateways: &[u64]| {
+        let messages: Vec<Value> =
+            gateways.iter().flat_map(|id| start(*id).as_array().unwrap().clone()).collect();
+        batch(1, messages.into())
     };
-    let play = |gateways: &[u64]| {
-        let mut lines = vec![starts(gateways)];
-        lines.extend((2..40).map(|serial| news(gateways, serial)));
+    let run_gateways = |gateways: &[u64]| {
+        let mut lines = vec![start_batch(gateways)];
+        lines.extend((2..40).map(|serial| request_batch(gateways, serial)));
         replies(&run(&lines))
     };
-    let of = |replies: &[Value], gateway: u64| -> Vec<Value> {
+    let orders_of = |replies: &[Value], gateway: u64| -> Vec<Value> {
         let orders = replies.iter().flat_map(|reply| reply["orders"].as_array().unwrap().clone());
-        let own =
+        let is_own =
             |order: &Value| order.as_object().unwrap().values().all(|order| order["GatewayId"] == gateway);
-        orders.filter(own).collect()
+        orders.filter(is_own).collect()
     };
-    let (both, alone) = (play(&[3, 5]), play(&[5]));
-    assert_eq!(of(&both, 5), of(&alone, 5));
-    assert!(!of(&alone, 5).is_empty());
+    let (shared, separate) = (run_gateways(&[3, 5]), run_gateways(&[5]));
+    assert_eq!(orders_of(&shared, 5), orders_of(&separate, 5));
+    assert!(!orders_of(&separate, 5).is_empty());
 }
--- a/tests/recorded_decisions.rs
+++ b/tests/recorded_decisions.rs
@@ -1,24 +1,26 @@
-//! Recorded decisions: the broker and the simulator's adapter, played in virtual time over seeds, decide as recorded.
+//! Regression test: the broker and the simulator's adapter, run in virtual time with seeded workloads, decide as
+//! recorded.
 //!
-//! Each scenario of `recorded_decisions/scenarios.rs` is played under two deployments' kinds of settings and several
-//! seeds. Every verdict, every attempt given up, every check at the first byte and all that was learned is written as
-//! text with its virtual time, and the text's SHA-256 is compared with the one in `recorded_decisions/hashes.txt`. The
-//! text uses words of the test's own and names on the wire, so that renaming a type changes nothing.
+//! Each scenario of `recorded_decisions/scenarios.rs` runs with the settings of two deployments and several seeds. Every
+//! verdict, every withdrawn attempt, every check before the first byte is sent and the learned state are written to a
+//! transcript with their virtual time. The SHA-256 of the transcript is compared with the one in
+//! `recorded_decisions/hashes.txt`. The transcript uses fixed words and names from the wire, so that renaming a type
+//! doesn't change it.
 //!
-//! Where a change of decisions is meant, say so in its commit and record anew:
+//! If a change of decisions is intended, state it in the commit message and record the hashes again:
 //!
 //! ```text
 //! SAGEARCH_RECORD_DECISIONS=1 cargo test --locked -p sagearch --test recorded_decisions
 //! ```
 //!
-//! Without it the test writes nothing into the tree. To see which decision differs, have the texts written into a
-//! folder before and after the change, and compare the two folders:
+//! Without this variable the test writes nothing into the source tree. To see which decision differs, write the
+//! transcripts to a directory before and after the change, and compare the two directories:
 //!
 //! ```text
 //! SAGEARCH_DECISION_TEXTS=/tmp/before cargo test --locked -p sagearch --test recorded_decisions
 //! ```
 
-#![allow(clippy::pedantic, reason = "a guard keeps the form in which it made its records")]
+#![allow(clippy::pedantic, reason = "the code stays in the form that produced the recorded hashes")]
 
 #[path = "recorded_decisions/adapter_world.rs"]
 mod adapter_world;
@@ -32,23 +34,23 @@
 #[path = "recorded_decisions/scenarios.rs"]
 mod scenarios;
 
-use adapter_world::AdapterWorld;
-use broker_world::BrokerWorld;
+use adapter_world::AdapterSimulation;
+use broker_world::BrokerSimulation;
 use ring::digest::{SHA256, digest};
 use scenarios::{SEEDS, deployments, scenarios};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
-/// Set to record anew.
-const RECORD: &str = "SAGEARCH_RECORD_DECISIONS";
-/// A folder into which the texts are written.
-const TEXTS: &str = "SAGEARCH_DECISION_TEXTS";
+/// Environment variable that makes the test record the hashes again.
+const RECORD_VARIABLE: &str = "SAGEARCH_RECORD_DECISIONS";
+/// Environment variable with the directory to which the transcripts are written.
+const TRANSCRIPTS_VARIABLE: &str = "SAGEARCH_DECISION_TEXTS";
 
-/// Hashes by scenario and seed.
+/// The hash of each transcript, by the name of the run (scenario and seed).
 type Hashes = BTreeMap<String, String>;
 
-fn recorded_file() -> PathBuf {
+fn hashes_file() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/recorded_decisions/hashes.txt")
 }
 
@@ -56,57 +58,67 @@
     digest(&SHA256, text.as_bytes()).as_ref().iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Notes the hash of a text, and writes the text itself where that is asked for.
-fn note(hashes: &mut Hashes, name: String, text: &str) {
-    assert!(text.lines().count() > 100, "{name} decides too little to be a guard");
-    if let Some(folder) = std::env::var_os(TEXTS) {
-        let file = Path::new(&folder).join(name.replace('/', "-"));
-        std::fs::create_dir_all(&folder).unwrap();
-        std::fs::write(file, text).unwrap();
+/// Adds the hash of a transcript, and writes the transcript to a file if the environment asks for it.
+fn add_transcript(hashes: &mut Hashes, name: String, transcript: &str) {
+    assert!(transcript.lines().count() > 100, "run {name} has too few decisions to detect a change");
+    if let Some(directory) = std::env::var_os(TRANSCRIPTS_VARIABLE) {
+        let file = Path::new(&directory).join(name.replace('/', "-"));
+        std::fs::create_dir_all(&directory).unwrap();
+        std::fs::write(file, transcript).unwrap();
     }
-    hashes.insert(name, hash(text));
+    hashes.insert(name, hash(transcript));
 }
 
-fn play_all() -> Hashes {
+fn run_all() -> Hashes {
     let mut hashes = Hashes::new();
     for (deployment, settings) in deployments() {
         for (scenario, workload) in scenarios() {
             for seed in 0..SEEDS {
-                let text = BrokerWorld::new(settings.clone(), workload, seed).play();
-                note(&mut hashes, format!("broker/{deployment}/{scenario}/seed-{seed}"), &text);
+                let transcript = BrokerSimulation::new(settings.clone(), workload, seed).run();
+                add_transcript(
+                    &mut hashes,
+                    format!("broker/{deployment}/{scenario}/seed-{seed}"),
+                    &transcript,
+                );
             }
         }
     }
     for seed in 0..SEEDS {
-        note(&mut hashes, format!("adapter/seed-{seed}"), &AdapterWorld::new(seed).play());
+        add_transcript(&mut hashes, format!("adapter/seed-{seed}"), &AdapterSimulation::new(seed).run());
     }
     hashes
 }
 
-fn read_recorded() -> Hashes {
-    let text = std::fs::read_to_string(recorded_file()).unwrap_or_default();
-    let line = |line: &str| line.split_once(' ').map(|(name, hash)| (name.to_string(), hash.to_string()));
-    text.lines().filter_map(line).collect()
+fn read_recorded_hashes() -> Hashes {
+    let text = std::fs::read_to_string(hashes_file()).unwrap_or_default();
+    let entry = |line: &str| line.split_once(' ').map(|(name, hash)| (name.to_string(), hash.to_string()));
+    text.lines().filter_map(entry).collect()
 }
 
-fn record(hashes: &Hashes) {
+fn write_recorded_hashes(hashes: &Hashes) {
     let mut text = String::new();
     for (name, hash) in hashes {
         writeln!(text, "{name} {hash}").unwrap();
     }
-    std::fs::write(recorded_file(), text).unwrap();
+    std::fs::write(hashes_file(), text).unwrap();
 }
 
 #[test]
-fn decisions_replayed_match_the_recorded_hashes() {
-    let played = play_all();
-    if std::env::var_os(RECORD).is_some() {
-        return record(&played);
+fn replayed_decisions_match_the_recorded_hashes() {
+    let replayed = run_all();
+    if std::env::var_os(RECORD_VARIABLE).is_some() {
+        return write_recorded_hashes(&replayed);
     }
-    let recorded = read_recorded();
-    let names = played.keys().chain(recorded.keys());
-    let mut differing: Vec<&String> = names.filter(|name| played.get(*name) != recorded.get(*name)).collect();
+    let recorded = read_recorded_hashes();
+    let names = replayed.keys().chain(recorded.keys());
+    let mut differing: Vec<&String> =
+        names.filter(|name| replayed.get(*name) != recorded.get(*name)).collect();
     differing.sort_unstable();
     differing.dedup();
-    assert!(differing.is_empty(), "{} of {} differ: {differing:#?}", differing.len(), played.len());
+    assert!(
+        differing.is_empty(),
+        "decisions differ from the record in {} of {} runs: {differing:#?}",
+        differing.len(),
+        replayed.len()
+    );
 }
--- a/tests/recorded_decisions/adapter_world.rs
+++ b/tests/recorded_decisions/adapter_world.rs
@@ -1,15 +1,16 @@
-//! The simulator's adapter in virtual time: messages in, orders out, as they stand on its wire. Two gateways share one
-//! process. The timers and cancellations that the broker keeps to itself are seen here.
+//! Simulation of the adapter in virtual time, with two gateways in one process. The transcript holds the orders as JSON,
+//! with the timers and cancellations that the broker's interface doesn't show.
 
 use sagearch::wire::Gateways;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-const MS: u64 = 1_000;
-const ROUND: u64 = 2 * MS;
+const MICROS_PER_MS: u64 = 1_000;
+const ROUND_MICROS: u64 = 2 * MICROS_PER_MS;
 const ROUNDS: u64 = 3_000;
-const LAST_ROUNDS: u64 = 1_700;
+/// Rounds without new events, in which all open requests end.
+const FINAL_ROUNDS: u64 = 1_700;
 const GATEWAYS: u64 = 2;
 const CLASSES: [&str; 4] = ["video", "order", "submit", "page"];
 const CACHES: [u32; 3] = [1, 2, 3];
@@ -47,197 +48,222 @@
         "FamilyType": kind})
 }
 
+/// An attempt in flight.
 struct Attempt {
     gateway: u64,
     corr: String,
     number: u64,
     cache: u64,
-    sent: u64,
-    ends: u64,
+    sent_at: u64,
+    ends_at: u64,
     code: &'static str,
     detail: u64,
 }
 
+/// Simulates the clients and members of the adapter's gateways.
 #[derive(Default)]
-pub struct AdapterWorld {
+pub struct AdapterSimulation {
     gateways: Gateways,
     readiness: BTreeMap<u32, &'static str>,
-    /// By request: its gateway, and how many attempts it has had.
-    open: BTreeMap<String, (u64, u64)>,
+    /// The gateway and the number of attempts of each open request, by its id.
+    open_requests: BTreeMap<String, (u64, u64)>,
     attempts: Vec<Attempt>,
-    /// By gateway and nonce.
+    /// The due time, gateway and nonce of each timer.
     timers: Vec<(u64, u64, String)>,
-    /// When clients give up on their requests.
-    waits: Vec<(u64, String)>,
-    random: u64,
+    /// The time at which the client abandons a request, and the request's id.
+    client_deadlines: Vec<(u64, String)>,
+    random_state: u64,
     now: u64,
     serial: u64,
-    requests: u64,
-    text: String,
+    request_count: u64,
+    transcript: String,
 }
 
-impl AdapterWorld {
-    pub fn new(seed: u64) -> AdapterWorld {
-        let mut world = AdapterWorld { random: seed, now: 1_000 * MS, ..AdapterWorld::default() };
+impl AdapterSimulation {
+    pub fn new(seed: u64) -> AdapterSimulation {
+        let mut simulation = AdapterSimulation {
+            random_state: seed,
+            now: 1_000 * MICROS_PER_MS,
+            ..AdapterSimulation::default()
+        };
         let nodes: Vec<Value> =
             CACHES.iter().chain(&PARENTS).chain(&[ORIGIN]).map(|id| node(*id, "SERVING", 0)).collect();
         for gateway in 0..GATEWAYS {
-            world.say(
+            simulation.send_message(
                 json!({"ATTACH": {"GatewayId": gateway, "Entropy": seed + gateway, "Env": environment()}}),
             );
-            world.say(json!({"MEMBERS": {"GatewayId": gateway, "Mode": "Complete", "Serial": 1, "NodesList": nodes}}));
+            simulation.send_message(json!({"MEMBERS": {"GatewayId": gateway, "Mode": "Complete", "Serial": 1, "NodesList": nodes}}));
         }
-        CACHES.iter().chain(&PARENTS).for_each(|id| _ = world.readiness.insert(*id, "SERVING"));
-        world
+        CACHES.iter().chain(&PARENTS).for_each(|id| _ = simulation.readiness.insert(*id, "SERVING"));
+        simulation
     }
 
-    /// Plays to the end. The text of all orders.
-    pub fn play(mut self) -> String {
+    /// Runs to the end and returns the transcript of all orders.
+    pub fn run(mut self) -> String {
         for _ in 0..ROUNDS {
             self.round();
-            self.happenings();
+            self.generate_events();
         }
-        for _ in 0..LAST_ROUNDS {
+        for _ in 0..FINAL_ROUNDS {
             self.round();
         }
-        assert!(self.open.is_empty(), "{} requests never ended", self.open.len());
-        self.text
+        assert!(
+            self.open_requests.is_empty(),
+            "requests still open at the end: {}",
+            self.open_requests.len()
+        );
+        self.transcript
     }
 
-    /// A number below the bound (splitmix64).
-    fn below(&mut self, bound: u64) -> u64 {
-        self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mixed = (self.random ^ (self.random >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    /// Returns a random number below the bound (splitmix64).
+    fn random_below(&mut self, bound: u64) -> u64 {
+        self.random_state = self.random_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mixed = (self.random_state ^ (self.random_state >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         (mixed ^ (mixed >> 31)) % bound
     }
 
-    /// Says one message to the adapter, writes its answer down and follows the orders in it.
-    fn say(&mut self, news: Value) {
+    /// Sends one message to the adapter, and records and executes the orders of its reply.
+    fn send_message(&mut self, message: Value) {
         self.serial += 1;
-        let line = json!({"Ts": self.now, "serial": self.serial, "news": [news]}).to_string();
-        let answer = self.gateways.answer(&line).unwrap();
-        let answer: Value = serde_json::from_str(&answer).unwrap();
-        for order in answer["orders"].as_array().unwrap() {
-            writeln!(self.text, "{} {order}", self.now).unwrap();
-            self.follow(order);
+        let line = json!({"Ts": self.now, "serial": self.serial, "news": [message]}).to_string();
+        let reply = self.gateways.answer(&line).unwrap();
+        let reply: Value = serde_json::from_str(&reply).unwrap();
+        for order in reply["orders"].as_array().unwrap() {
+            writeln!(self.transcript, "{} {order}", self.now).unwrap();
+            self.execute_order(order);
         }
     }
 
-    fn follow(&mut self, order: &Value) {
+    fn execute_order(&mut self, order: &Value) {
         let (kind, fields) = order.as_object().unwrap().iter().next().unwrap();
         let gateway = fields["GatewayId"].as_u64().unwrap();
         let corr = fields["Corr"].as_str().unwrap_or_default().to_string();
         match kind.as_str() {
-            "DISPATCH" | "LOOK_AND_FILL" => self.send(gateway, corr, fields),
-            "PUSH_BACK" | "SURRENDER" => drop(self.open.remove(&corr)),
+            "DISPATCH" | "LOOK_AND_FILL" => self.start_attempt(gateway, corr, fields),
+            "PUSH_BACK" | "SURRENDER" => drop(self.open_requests.remove(&corr)),
             "CALL_OFF" => {
                 let number = fields["SeqNo"].as_u64().unwrap();
                 self.attempts.retain(|attempt| (&attempt.corr, attempt.number) != (&corr, number));
             }
             "ARM" => {
-                let at = self.now + fields["FromNow"].as_u64().unwrap();
-                self.timers.push((at, gateway, fields["Nonce"].as_str().unwrap().to_string()));
+                let due = self.now + fields["FromNow"].as_u64().unwrap();
+                self.timers.push((due, gateway, fields["Nonce"].as_str().unwrap().to_string()));
             }
-            other => panic!("an order {other}"),
+            other => panic!("the adapter sent an unknown order: {other}"),
         }
     }
 
-    fn send(&mut self, gateway: u64, corr: String, fields: &Value) {
-        let Some((_, sent)) = self.open.get_mut(&corr) else { return };
-        let number = *sent;
-        *sent += 1;
+    fn start_attempt(&mut self, gateway: u64, corr: String, fields: &Value) {
+        let Some((_, attempts)) = self.open_requests.get_mut(&corr) else { return };
+        let number = *attempts;
+        *attempts += 1;
         let cache = fields["Cache"].as_u64().unwrap();
-        let limit = self.now + fields["MaxWait"].as_u64().unwrap();
-        let took = self.now + 5 * MS + self.below(700) * MS;
-        let (code, detail) = self.draw_end();
-        let (ends, code) = if took < limit && code != "Silent" { (took, code) } else { (limit, "TimedOut") };
-        self.attempts.push(Attempt { gateway, corr, number, cache, sent: self.now, ends, code, detail });
+        let deadline = self.now + fields["MaxWait"].as_u64().unwrap();
+        let response_at = self.now + 5 * MICROS_PER_MS + self.random_below(700) * MICROS_PER_MS;
+        let (code, detail) = self.draw_outcome();
+        let (ends_at, code) = if response_at < deadline && code != "Unanswered" {
+            (response_at, code)
+        } else {
+            (deadline, "TimedOut")
+        };
+        self.attempts.push(Attempt {
+            gateway,
+            corr,
+            number,
+            cache,
+            sent_at: self.now,
+            ends_at,
+            code,
+            detail,
+        });
     }
 
-    fn draw_end(&mut self) -> (&'static str, u64) {
-        match self.below(30) {
+    fn draw_outcome(&mut self) -> (&'static str, u64) {
+        match self.random_below(30) {
             0 => ("QueueFull", 0),
             1 => ("QueueFull", 6),
             2 => ("Failed", 7),
             3 => ("ConnectError", 0),
             4 => ("ResetByPeer", 0),
             5 => ("Miss", 8),
-            6 => ("Silent", 0),
-            7 => ("Strange", 0),
-            _ => ("Ok", 1 + self.below(5)),
+            6 => ("Unanswered", 0),
+            7 => ("UnknownCode", 0),
+            _ => ("Ok", 1 + self.random_below(5)),
         }
     }
 
     fn round(&mut self) {
-        self.now += ROUND;
-        self.wake();
-        self.respond();
-        self.expire();
+        self.now += ROUND_MICROS;
+        self.fire_timers();
+        self.deliver_responses();
+        self.abandon_overdue_requests();
     }
 
-    fn wake(&mut self) {
+    fn fire_timers(&mut self) {
         let now = self.now;
-        let due: Vec<(u64, u64, String)> = self.timers.extract_if(.., |(at, ..)| *at <= now).collect();
+        let due: Vec<(u64, u64, String)> = self.timers.extract_if(.., |(due, ..)| *due <= now).collect();
         for (_, gateway, nonce) in due {
-            self.say(json!({"WAKE": {"GatewayId": gateway, "Nonce": nonce}}));
+            self.send_message(json!({"WAKE": {"GatewayId": gateway, "Nonce": nonce}}));
         }
     }
 
-    fn respond(&mut self) {
+    fn deliver_responses(&mut self) {
         let now = self.now;
-        let due: Vec<Attempt> = self.attempts.extract_if(.., |attempt| attempt.ends <= now).collect();
+        let due: Vec<Attempt> = self.attempts.extract_if(.., |attempt| attempt.ends_at <= now).collect();
         for attempt in due {
             let over = attempt.code == "Ok";
             if over {
-                self.open.remove(&attempt.corr);
+                self.open_requests.remove(&attempt.corr);
                 self.attempts.retain(|other| other.corr != attempt.corr);
             }
-            let inflight = self.below(12);
-            self.say(json!({"RESPONSE": {"GatewayId": attempt.gateway, "Corr": attempt.corr,
-                "Cache": attempt.cache, "TimeTaken": now - attempt.sent, "Detail": attempt.detail, "Over": over,
+            let inflight = self.random_below(12);
+            self.send_message(json!({"RESPONSE": {"GatewayId": attempt.gateway, "Corr": attempt.corr,
+                "Cache": attempt.cache, "TimeTaken": now - attempt.sent_at, "Detail": attempt.detail, "Over": over,
                 "Code": attempt.code, "SeqNo": attempt.number, "Stats": [0.0, 0.4, 0.0, inflight]}}));
         }
     }
 
-    fn expire(&mut self) {
+    fn abandon_overdue_requests(&mut self) {
         let now = self.now;
-        let due: Vec<(u64, String)> = self.waits.extract_if(.., |(at, _)| *at <= now).collect();
+        let due: Vec<(u64, String)> =
+            self.client_deadlines.extract_if(.., |(deadline, _)| *deadline <= now).collect();
         for (_, corr) in due {
-            let Some((gateway, _)) = self.open.remove(&corr) else { continue };
+            let Some((gateway, _)) = self.open_requests.remove(&corr) else { continue };
             self.attempts.retain(|attempt| attempt.corr != corr);
-            self.say(json!({"EXPIRED": {"GatewayId": gateway, "Corr": corr}}));
+            self.send_message(json!({"EXPIRED": {"GatewayId": gateway, "Corr": corr}}));
         }
     }
 
-    fn happenings(&mut self) {
-        if self.below(6) == 0 {
-            self.ask();
+    /// Generates the random events between two rounds.
+    fn generate_events(&mut self) {
+        if self.random_below(6) == 0 {
+            self.send_request();
         }
-        if self.below(200) == 0 {
+        if self.random_below(200) == 0 {
             self.change_member();
         }
-        if self.below(60) == 0 {
+        if self.random_below(60) == 0 {
             self.purge();
         }
     }
 
-    fn ask(&mut self) {
-        self.requests += 1;
-        let (corr, gateway) = (format!("{:016x}", self.requests), self.below(GATEWAYS));
-        let budget = 200 * MS + self.below(2_800) * MS;
-        let class = CLASSES[self.below(4) as usize];
+    fn send_request(&mut self) {
+        self.request_count += 1;
+        let (corr, gateway) = (format!("{:016x}", self.request_count), self.random_below(GATEWAYS));
+        let budget = 200 * MICROS_PER_MS + self.random_below(2_800) * MICROS_PER_MS;
+        let class = CLASSES[self.random_below(4) as usize];
         let request = json!({"REQUEST": {"GatewayId": gateway, "Corr": corr, "Class": class, "Budget": budget,
-            "SizeKb": 5 + self.below(400), "PurgeGroup": self.below(8), "Piece": self.below(3),
-            "ContentId": format!("o{}", self.below(30))}});
-        self.open.insert(corr.clone(), (gateway, 0));
-        self.waits.push((self.now + budget, corr));
-        self.say(request);
+            "SizeKb": 5 + self.random_below(400), "PurgeGroup": self.random_below(8), "Piece": self.random_below(3),
+            "ContentId": format!("o{}", self.random_below(30))}});
+        self.open_requests.insert(corr.clone(), (gateway, 0));
+        self.client_deadlines.push((self.now + budget, corr));
+        self.send_message(request);
     }
 
     fn change_member(&mut self) {
-        let place = self.below(self.readiness.len() as u64) as usize;
-        let (id, readiness) = self.readiness.iter_mut().nth(place).unwrap();
+        let index = self.random_below(self.readiness.len() as u64) as usize;
+        let (id, readiness) = self.readiness.iter_mut().nth(index).unwrap();
         *readiness = match *readiness {
             "SERVING" => "DRAINING",
             "DRAINING" => "DELETED",
@@ -245,22 +271,22 @@
         };
         let changed = node(*id, readiness, self.now);
         for gateway in 0..GATEWAYS {
-            self.say(json!({"MEMBERS": {"GatewayId": gateway, "Mode": "Partial", "Serial": 2,
+            self.send_message(json!({"MEMBERS": {"GatewayId": gateway, "Mode": "Partial", "Serial": 2,
                 "NodesList": [changed]}}));
         }
     }
 
     fn purge(&mut self) {
-        let (age, group) = (self.below(400) * MS, self.below(8));
+        let (age, group) = (self.random_below(400) * MICROS_PER_MS, self.random_below(8));
         let mut purge = json!({"CopyAge": age});
-        if self.below(4) == 0 {
+        if self.random_below(4) == 0 {
             purge["FamilyId"] = json!(group);
         } else {
-            purge["ContentId"] = json!(format!("o{}", self.below(30)));
+            purge["ContentId"] = json!(format!("o{}", self.random_below(30)));
         }
         for gateway in 0..GATEWAYS {
             purge["GatewayId"] = json!(gateway);
-            self.say(json!({"STRUCK_OUT": purge}));
+            self.send_message(json!({"STRUCK_OUT": purge}));
         }
     }
 }
--- a/tests/recorded_decisions/budget.rs
+++ b/tests/recorded_decisions/budget.rs
@@ -1,34 +1,34 @@
-//! A budget that gateways share, as a stand-in without other gateways.
+//! A stub of the retry budget that gateways share, without other gateways.
 
 use super::common::MS;
 use sagearch::interface::{Micros, RetryBudget, RetryPayment};
 
-const MOST: u64 = 5;
-const REFILL: Micros = 100 * MS;
+const MAX_RETRIES: u64 = 5;
+const REFILL_INTERVAL: Micros = 100 * MS;
 
-/// A budget of a few attempts, refilled by one each [`REFILL`].
-pub struct Budget {
-    left: u64,
-    refilled: Micros,
+/// A budget of up to [`MAX_RETRIES`], to which one is added every [`REFILL_INTERVAL`].
+pub struct StubRetryBudget {
+    remaining_retries: u64,
+    last_refill: Micros,
 }
 
-impl Budget {
-    pub fn full(now: Micros) -> Budget {
-        Budget { left: MOST, refilled: now }
+impl StubRetryBudget {
+    pub fn full(now: Micros) -> StubRetryBudget {
+        StubRetryBudget { remaining_retries: MAX_RETRIES, last_refill: now }
     }
 }
 
-impl RetryBudget for Budget {
-    fn expect(&mut self, _now: Micros, _at: Micros) {}
+impl RetryBudget for StubRetryBudget {
+    fn expect(&mut self, _now: Micros, _due: Micros) {}
 
     fn tick(&mut self, now: Micros) {
-        let refills = now.saturating_sub(self.refilled) / (REFILL);
-        self.left = (self.left + refills).min(MOST);
-        self.refilled += refills * REFILL;
+        let refills = now.saturating_sub(self.last_refill) / (REFILL_INTERVAL);
+        self.remaining_retries = (self.remaining_retries + refills).min(MAX_RETRIES);
+        self.last_refill += refills * REFILL_INTERVAL;
     }
 
     fn spend(&mut self, _now: Micros) -> Option<RetryPayment> {
-        self.left = self.left.checked_sub(1)?;
+        self.remaining_retries = self.remaining_retries.checked_sub(1)?;
         Some(RetryPayment { slice: sagearch_homes::Slice(0), claim: None })
     }
 
--- a/tests/recorded_decisions/encoding.rs
+++ b/tests/recorded_decisions/encoding.rs
@@ -1,5 +1,5 @@
-//! The text of a decision. It is written field by field under words of its own: renaming a type, a variant or a field
-//! of the program changes nothing here.
+//! Text form of decisions. It is written field by field with fixed words, so that renaming a type, a variant or a field
+//! of the program doesn't change it.
 
 use sagearch::broker::{FreshnessReport, NextStep, PlannedAttempt, Verdict};
 use sagearch::interface::{Fill, MemberId, Micros};
@@ -25,7 +25,7 @@
     )
 }
 
-pub fn planned(planned: &PlannedAttempt) -> String {
+pub fn attempt(planned: &PlannedAttempt) -> String {
     format!(
         "attempt request={} number={} member={} timeout={} picked={} fill=({})",
         planned.request.0,
@@ -39,13 +39,13 @@
 
 pub fn verdict(verdict: &Verdict) -> String {
     match verdict {
-        Verdict::Attempt(attempt) => planned(attempt),
+        Verdict::Attempt(planned) => attempt(planned),
         Verdict::Refused { backoff } => format!("refused backoff={}", optional(*backoff)),
         Verdict::Failed => "failed".into(),
     }
 }
 
-pub fn next(next: &NextStep) -> String {
+pub fn next_step(next: &NextStep) -> String {
     match next {
         NextStep::Done => "done".into(),
         NextStep::Verdict(next) => verdict(next),
@@ -65,15 +65,17 @@
     )
 }
 
-/// Stored values, by their stored names. Fractions are rounded to nine digits: the last ones of `powf` are the
-/// machine's own.
-pub fn stored(value: &Value) -> String {
+/// Formats stored values under their stored names. Fractions are rounded to nine significant digits, because the last
+/// digits of `powf` differ between machines.
+pub fn stored_value(value: &Value) -> String {
     match value {
         Value::Object(fields) => {
-            let fields = fields.iter().map(|(name, value)| format!("{name}:{}", stored(value)));
+            let fields = fields.iter().map(|(name, value)| format!("{name}:{}", stored_value(value)));
             format!("{{{}}}", fields.collect::<Vec<_>>().join(","))
         }
-        Value::Array(values) => format!("[{}]", values.iter().map(stored).collect::<Vec<_>>().join(",")),
+        Value::Array(values) => {
+            format!("[{}]", values.iter().map(stored_value).collect::<Vec<_>>().join(","))
+        }
         Value::Number(number) if number.is_f64() => format!("{:.8e}", number.as_f64().unwrap_or(f64::NAN)),
         other => other.to_string(),
     }
--- a/tests/recorded_decisions/scenarios.rs
+++ b/tests/recorded_decisions/scenarios.rs
@@ -1,13 +1,13 @@
-//! The scenarios: two deployments' kinds of settings, and what happens to a gateway under them.
+//! Scenarios: the settings of two deployments, and the workloads of a gateway.
 
 use super::common::{MS, SECOND, settings};
 use sagearch::interface::*;
 
-/// Seeds of each scenario under each deployment.
+/// The number of seeds of each scenario in each deployment.
 pub const SEEDS: u64 = 3;
 
-/// A deployment with an idempotency key, one attempt at a time and no `Retry-After`.
-fn keyed_deployment() -> Settings {
+/// Settings with an idempotency key for writes, one attempt at a time and no `Retry-After`.
+fn keyed_settings() -> Settings {
     let mut settings = settings();
     settings.classes[1].idempotency =
         Idempotency::Keyed { group: DeduplicationGroup::All, window: 3 * SECOND };
@@ -19,8 +19,8 @@
     Settings { sibling_fills: true, max_backoff: None, ..settings }
 }
 
-/// A deployment whose writes must not run twice, with hedged requests and `Retry-After`.
-fn once_deployment() -> Settings {
+/// Settings with writes that must not run twice, hedged requests and `Retry-After`.
+fn non_idempotent_settings() -> Settings {
     let mut settings = settings();
     settings.classes[1].idempotency = Idempotency::NotIdempotent;
     settings.cache_slow_start =
@@ -30,49 +30,53 @@
     Settings { sibling_fills: true, hedging: true, max_backoff: Some(2 * SECOND), ..settings }
 }
 
-/// The deployments by name.
+/// Returns the settings of each deployment, with the name under which its hashes are recorded.
 pub fn deployments() -> [(&'static str, Settings); 2] {
-    [("keyed", keyed_deployment()), ("once", once_deployment())]
+    [("keyed", keyed_settings()), ("once", non_idempotent_settings())]
 }
 
-/// How often things happen: each is the chance in a thousand of one of them in a round of 2 ms.
+/// The events around a gateway. Each rate is the chance per mille that the event takes place in a round of 2 ms.
 #[derive(Clone, Copy)]
 pub struct Workload {
     pub requests: u64,
-    pub name_lookups: u64,
-    /// Requests that their client abandons.
+    pub lookups: u64,
+    /// Requests abandoned by their client.
     pub abandons: u64,
-    /// Members that start draining, leave, or start again; and members that were never seen before.
+    /// Members that start draining, leave, or start again.
     pub member_changes: u64,
+    /// Members that were never listed before.
     pub new_members: u64,
-    /// Complete lists, of which one in four lacks a member.
+    /// Complete member lists, of which one in four lacks a member.
     pub complete_lists: u64,
     pub object_purges: u64,
     pub group_purges: u64,
     pub slice_purges: u64,
-    /// Members that an operator takes out or puts back.
+    /// Drains of the gateway that an operator starts or ends, and members taken out of service or returned.
     pub operator_changes: u64,
     pub settings_changes: u64,
     pub lease_renewals: u64,
-    /// Another process takes over what this one has learned.
-    pub takeovers: u64,
+    /// Upgrades: a new process receives the learned state of the previous process.
+    pub upgrades: u64,
     /// A second process of the gateway starts or ends.
     pub process_changes: u64,
-    /// The chance in a thousand that an attempt fails, and that it gets no answer.
+    /// The chance per mille that an attempt fails.
     pub failures: u64,
-    pub silences: u64,
-    /// The longest that an answer takes.
-    pub slowest: Micros,
+    /// The chance per mille that an attempt gets no response.
+    pub unanswered: u64,
+    /// The longest time that a response takes.
+    pub max_response_time: Micros,
+    /// Whether the gateway shares its retry budget.
     pub shared_budget: bool,
-    /// The process is stopped for longer than members that are gone are remembered.
-    pub pauses: bool,
-    /// The process is told to end at the end of the scenario.
-    pub ends: bool,
+    /// Whether the process is suspended halfway, for longer than state about gone members is kept.
+    pub suspends: bool,
+    /// Whether the process shuts down at the end of the scenario.
+    pub shuts_down: bool,
 }
 
-const QUIET: Workload = Workload {
+/// The workload from which the scenarios differ: requests to a stable member list, with few failures.
+const BASELINE: Workload = Workload {
     requests: 150,
-    name_lookups: 0,
+    lookups: 0,
     abandons: 0,
     member_changes: 0,
     new_members: 0,
@@ -83,43 +87,44 @@
     operator_changes: 0,
     settings_changes: 0,
     lease_renewals: 0,
-    takeovers: 0,
+    upgrades: 0,
     process_changes: 0,
     failures: 20,
-    silences: 5,
-    slowest: 400 * MS,
+    unanswered: 5,
+    max_response_time: 400 * MS,
     shared_budget: false,
-    pauses: false,
-    ends: false,
+    suspends: false,
+    shuts_down: false,
 };
 
-/// The scenarios by name.
+/// Returns the workload of each scenario, with the name under which its hashes are recorded.
 pub fn scenarios() -> Vec<(&'static str, Workload)> {
     vec![
-        ("steady", QUIET),
-        ("overload", Workload { requests: 900, slowest: 1_500 * MS, ..QUIET }),
-        ("members", Workload { member_changes: 8, new_members: 3, complete_lists: 2, ..QUIET }),
-        ("pause", Workload { pauses: true, member_changes: 8, failures: 100, ..QUIET }),
-        ("purges", Workload { object_purges: 20, group_purges: 6, slice_purges: 1, ..QUIET }),
-        ("retries", Workload { failures: 450, silences: 60, ..QUIET }),
-        ("hedging", Workload { silences: 150, slowest: 900 * MS, ..QUIET }),
-        ("rare-losses", Workload { silences: 12, failures: 5, slowest: 250 * MS, ..QUIET }),
-        ("abandons", Workload { abandons: 60, failures: 200, ..QUIET }),
-        ("settings", Workload { settings_changes: 4, member_changes: 2, ..QUIET }),
-        ("operators", Workload { operator_changes: 6, member_changes: 2, ..QUIET }),
-        ("freshness", Workload { lease_renewals: 1, object_purges: 6, ..QUIET }),
-        ("shared-budget", Workload { shared_budget: true, failures: 350, process_changes: 1, ..QUIET }),
-        ("takeover", Workload { takeovers: 1, process_changes: 2, failures: 60, ..QUIET }),
-        ("lookups", Workload { name_lookups: 120, requests: 60, member_changes: 4, failures: 150, ..QUIET }),
-        ("ending", Workload { ends: true, requests: 400, silences: 60, failures: 150, ..QUIET }),
-        ("everything", everything()),
+        ("steady", BASELINE),
+        ("overload", Workload { requests: 900, max_response_time: 1_500 * MS, ..BASELINE }),
+        ("members", Workload { member_changes: 8, new_members: 3, complete_lists: 2, ..BASELINE }),
+        ("pause", Workload { suspends: true, member_changes: 8, failures: 100, ..BASELINE }),
+        ("purges", Workload { object_purges: 20, group_purges: 6, slice_purges: 1, ..BASELINE }),
+        ("retries", Workload { failures: 450, unanswered: 60, ..BASELINE }),
+        ("hedging", Workload { unanswered: 150, max_response_time: 900 * MS, ..BASELINE }),
+        ("rare-losses", Workload { unanswered: 12, failures: 5, max_response_time: 250 * MS, ..BASELINE }),
+        ("abandons", Workload { abandons: 60, failures: 200, ..BASELINE }),
+        ("settings", Workload { settings_changes: 4, member_changes: 2, ..BASELINE }),
+        ("operators", Workload { operator_changes: 6, member_changes: 2, ..BASELINE }),
+        ("freshness", Workload { lease_renewals: 1, object_purges: 6, ..BASELINE }),
+        ("shared-budget", Workload { shared_budget: true, failures: 350, process_changes: 1, ..BASELINE }),
+        ("takeover", Workload { upgrades: 1, process_changes: 2, failures: 60, ..BASELINE }),
+        ("lookups", Workload { lookups: 120, requests: 60, member_changes: 4, failures: 150, ..BASELINE }),
+        ("ending", Workload { shuts_down: true, requests: 400, unanswered: 60, failures: 150, ..BASELINE }),
+        ("everything", combined_workload()),
     ]
 }
 
-fn everything() -> Workload {
+/// A workload with all kinds of events except upgrades and suspensions.
+fn combined_workload() -> Workload {
     Workload {
         requests: 300,
-        name_lookups: 10,
+        lookups: 10,
         abandons: 10,
         member_changes: 4,
         new_members: 1,
@@ -130,13 +135,13 @@
         operator_changes: 1,
         settings_changes: 1,
         lease_renewals: 2,
-        takeovers: 0,
+        upgrades: 0,
         process_changes: 1,
         failures: 100,
-        silences: 30,
-        slowest: 700 * MS,
+        unanswered: 30,
+        max_response_time: 700 * MS,
         shared_budget: true,
-        pauses: false,
-        ends: true,
+        suspends: false,
+        shuts_down: true,
     }
 }
