--- a/src/broker/freshness.rs
+++ b/src/broker/freshness.rs
@@ -1,30 +1,34 @@
-//! The freshness lease at the broker: renewals, reports, and the check of attempts that were picked before it expired.
+//! The freshness lease of the broker: renewals, reports, and the check of attempts picked before it expired.
 
 use super::{Broker, Waiter};
 use crate::interface::{Event, Micros};
 use sagearch_feed::lease::Lease;
 
-/// How fresh the feed is known to be, and what that has cost.
+/// The state of the freshness lease, and how many attempts and requests its expiry has stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FreshnessReport {
-    /// The lease has expired: purges may have been missed.
+    /// Whether the lease has expired, so that purges may have been missed.
     pub is_stale: bool,
-    /// All events up to this time have been applied.
+    /// The time up to which all events have been applied.
     pub as_of: Option<Micros>,
-    /// Attempts that were not written because the lease had expired since they were picked.
+    /// Number of attempts not sent because the lease expired after they were picked.
     pub unsent: u64,
-    /// Requests that were refused as no revalidation could be paid for.
+    /// Number of requests refused because the revalidation budget was exhausted.
     pub refused: u64,
 }
 
 impl<W: Waiter> Broker<W> {
-    /// Takes in the freshness lease as it stands. From the first call on copies are revalidated whenever it is expired,
-    /// with so many revalidations a second.
-    pub fn renew_freshness(&mut self, now: Micros, lease: Lease, revalidations: u32) {
-        self.router.handle(now, Event::Freshness { lease, revalidations }, &mut Vec::new());
+    /// Replaces the freshness lease. From the first call on, copies are revalidated while the lease is expired, at most
+    /// `revalidations_per_second`.
+    pub fn renew_freshness(&mut self, now: Micros, lease: Lease, revalidations_per_second: u32) {
+        self.router.handle(
+            now,
+            Event::Freshness { lease, revalidations: revalidations_per_second },
+            &mut Vec::new(),
+        );
     }
 
-    /// How fresh the feed is known to be; `None`: no lease was given.
+    /// A report on the freshness lease; `None`: none was ever set.
     pub fn freshness(&self, now: Micros) -> Option<FreshnessReport> {
         let freshness = &self.router.freshness;
         let lease = freshness.lease()?;
@@ -36,14 +40,14 @@
         })
     }
 
-    /// Whether the lease under which an attempt was picked has expired since: the age limit of the attempt was computed
-    /// without that. Counts the attempt if so.
+    /// Whether the lease expired after an attempt was picked, so that the attempt's age limit does not allow for purges
+    /// missed since. Counts the attempt if so.
     pub(super) fn lease_expired_since(&self, now: Micros, picked: Micros) -> bool {
         let Some(lease) = self.router.freshness.lease().filter(|lease| lease.is_expired(now)) else {
             return false;
         };
-        let expired = lease.until().is_some_and(|until| picked < until);
-        self.unsent_after_expiry.set(self.unsent_after_expiry.get() + u64::from(expired));
-        expired
+        let expired_since = lease.until().is_some_and(|until| picked < until);
+        self.unsent_after_expiry.set(self.unsent_after_expiry.get() + u64::from(expired_since));
+        expired_since
     }
 }
--- a/src/broker/open_request.rs
+++ b/src/broker/open_request.rs
@@ -1,4 +1,4 @@
-//! What the broker keeps of a request until its final verdict.
+//! The state that the broker keeps for a request until its final verdict.
 
 use crate::interface::{Class, Idempotency, MemberId, Micros, Request, RetryPayment};
 use crate::purges::object_hash;
@@ -7,40 +7,40 @@
 
 /// An attempt that has not ended.
 pub(super) struct InFlightAttempt {
-    /// Its number.
+    /// Number of the attempt, counted from 0 for each request.
     pub attempt: u32,
-    /// The member that it was sent to.
+    /// The member that the attempt was picked for.
     pub member: MemberId,
-    /// When it was decided on.
-    pub sent_at: Micros,
-    /// Its payment, where gateways share a budget.
+    /// When the attempt was picked.
+    pub picked_at: Micros,
+    /// The payment for the attempt from the shared retry budget, if it needed one.
     pub payment: Option<RetryPayment>,
 }
 
 /// A request without a final verdict.
 pub(super) struct OpenRequest<W> {
-    /// Receives the verdicts that timers bring.
+    /// Receives the verdicts that result from timers.
     pub waiter: W,
-    /// Who the request is carried out for.
+    /// The caller on whose behalf the request runs.
     pub caller: Arc<Caller>,
-    /// Attempts so far.
-    pub attempts: u32,
-    /// One, or two where the settings allow hedged requests.
+    /// Number of attempts so far, including ended ones.
+    pub attempt_count: u32,
+    /// The attempts in flight: at most one, or two where the settings allow hedged requests.
     pub in_flight: Vec<InFlightAttempt>,
-    /// The hash of its object, by which purges find it.
-    pub object: u64,
-    /// The group by which its object can be purged.
-    pub group: Option<u64>,
-    /// Its copies are cached, and so can be purged.
-    pub cached: bool,
-    /// For how long after the first attempt that may have run members drop repeats.
+    /// The hash of the requested object, under which its purges are recorded.
+    pub object_hash: u64,
+    /// The purge group of the requested object.
+    pub purge_group: Option<u64>,
+    /// Whether the object is cached, and so can be purged.
+    pub cacheable: bool,
+    /// How long members drop duplicates after the first attempt that may have run.
     pub idempotency_window: Option<Micros>,
-    /// When the first attempt that may have run was sent.
-    pub first_run: Option<Micros>,
+    /// When the first attempt that may have run was picked.
+    pub first_possible_run: Option<Micros>,
 }
 
 impl<W> OpenRequest<W> {
-    /// A request of a class, or of none that the settings name, without attempts.
+    /// Creates the state of a request without attempts. `class: None`: the settings do not name its class.
     pub fn new(request: &Request, class: Option<&Class>, caller: Arc<Caller>, waiter: W) -> OpenRequest<W> {
         let idempotency_window = class.and_then(|class| match class.idempotency {
             Idempotency::Keyed { window, .. } => Some(window),
@@ -49,35 +49,36 @@
         OpenRequest {
             waiter,
             caller,
-            attempts: 0,
+            attempt_count: 0,
             in_flight: Vec::new(),
-            object: object_hash(&request.object),
-            group: request.purge_group,
-            cached: class.is_some_and(|class| !class.uncacheable),
+            object_hash: object_hash(&request.object),
+            purge_group: request.purge_group,
+            cacheable: class.is_some_and(|class| !class.uncacheable),
             idempotency_window,
-            first_run: None,
+            first_possible_run: None,
         }
     }
 
-    /// An attempt that is in flight, by its number.
+    /// Finds an attempt in flight by its number.
     pub fn attempt(&self, attempt: u32) -> Option<&InFlightAttempt> {
-        self.in_flight.iter().find(|sent| sent.attempt == attempt)
+        self.in_flight.iter().find(|in_flight| in_flight.attempt == attempt)
     }
 
-    /// Takes an attempt out that has ended.
+    /// Removes an attempt that has ended.
     pub fn remove_attempt(&mut self, attempt: u32) -> Option<InFlightAttempt> {
-        let position = self.in_flight.iter().position(|sent| sent.attempt == attempt)?;
+        let position = self.in_flight.iter().position(|in_flight| in_flight.attempt == attempt)?;
         Some(self.in_flight.remove(position))
     }
 
-    /// Notes that an attempt sent at that time may have run.
-    pub fn note_possible_run(&mut self, sent_at: Micros) {
-        self.first_run = Some(self.first_run.map_or(sent_at, |first| first.min(sent_at)));
+    /// Records that the attempt picked at `picked_at` may have run.
+    pub fn record_possible_run(&mut self, picked_at: Micros) {
+        self.first_possible_run =
+            Some(self.first_possible_run.map_or(picked_at, |first| first.min(picked_at)));
     }
 
-    /// Whether members may no longer drop a repeat of what may have run.
+    /// Whether members may have stopped dropping duplicates of an attempt that may have run.
     pub fn is_idempotency_expired(&self, now: Micros, tick: Micros) -> bool {
-        let first_run_and_window = self.first_run.zip(self.idempotency_window);
-        first_run_and_window.is_some_and(|(first_run, window)| now + tick >= first_run.saturating_add(window))
+        let run_and_window = self.first_possible_run.zip(self.idempotency_window);
+        run_and_window.is_some_and(|(first_run, window)| now + tick >= first_run.saturating_add(window))
     }
 }
--- a/src/broker/verdicts.rs
+++ b/src/broker/verdicts.rs
@@ -1,39 +1,39 @@
-//! What the broker returns to a front, and what a front reports to the broker.
+//! Verdicts that the broker returns to a frontend, and reports that a frontend passes to the broker.
 
 use crate::interface::{Detail, Fill, Load, MemberId, Micros, Outcome, RequestId};
 use sagearch_identity::Caller;
 use std::sync::Arc;
 
-/// An attempt that the front is to carry out.
+/// An attempt for the frontend to send.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedAttempt {
-    /// The request that it is an attempt of.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
     /// Number of the attempt, counted from 0 for each request.
     pub attempt: u32,
     /// The member that the attempt is sent to.
     pub member: MemberId,
-    /// The broker ends the attempt itself after this; the store is sent it as deadline.
+    /// Time after which the broker ends the attempt itself. The store receives it as the deadline.
     pub timeout: Micros,
-    /// What the member is to do on a miss; `None`: it answers with a copy of any age, or not at all.
+    /// What the member does on a miss; `None`: a cache answers only with a cached copy, of any age.
     pub fill: Option<Fill>,
-    /// When the attempt was decided on.
+    /// When the attempt was picked.
     pub picked: Micros,
-    /// Who the request is carried out for.
+    /// The caller on whose behalf the request runs.
     pub caller: Arc<Caller>,
 }
 
-/// What is to be done about a request.
+/// The broker's decision on a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// An attempt is to be carried out.
+    /// The frontend sends an attempt.
     Attempt(PlannedAttempt),
-    /// Final: a retry by the client is harmless.
+    /// Final: the request is refused, and the client may safely retry it.
     Refused {
-        /// Retry-After of the client, if one is given.
+        /// The Retry-After value for the client, if any.
         backoff: Option<Micros>,
     },
-    /// Final: failed; whether the request ran is not known.
+    /// Final: the request failed, and it is unknown whether it ran.
     Failed,
 }
 
@@ -44,14 +44,14 @@
     }
 }
 
-/// How an attempt ended, and what the answer reported with it.
+/// The outcome of an attempt, and what its answer reported.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptReport {
     /// How the attempt ended.
     pub outcome: Outcome,
-    /// How its answer came about.
+    /// How the member obtained the answer.
     pub detail: Detail,
-    /// The member's load report.
+    /// The load report of the member.
     pub load: Load,
 }
 
@@ -61,23 +61,22 @@
     }
 }
 
-/// What follows the end of an attempt.
+/// What the frontend does after it has reported the end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NextStep {
-    /// The request is finished by this outcome.
+    /// The request is finished.
     Done,
-    /// The front carries out this verdict.
+    /// The frontend carries out this verdict.
     Verdict(Verdict),
-    /// The verdict comes to the waiter; or the outcome was of an attempt that had already ended.
+    /// The frontend waits: the waiter receives the next verdict, or the attempt had already ended.
     Wait,
 }
 
-/// Receives the verdicts on one request that a timer brings.
+/// Receives the verdicts on one request that result from timers.
 pub trait Waiter {
     /// Receives a verdict.
     fn deliver(&self, verdict: Verdict);
 
-    /// An attempt has timed out and is to be withdrawn from its store. Other attempts of the request that are in flight
-    /// go on.
+    /// Cancels an attempt that has timed out at its store. Other attempts of the request in flight continue.
     fn withdraw(&self, attempt: u32);
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,6 +1,6 @@
-//! Events that a gateway hands to the [`Router`](crate::Router), and the actions that the router returns.
+//! Events that a gateway passes to the [`Router`](crate::Router), and the actions that the router returns.
 //!
-//! All times are microseconds. Points in time are on the gateway's own monotonic clock.
+//! All times are in microseconds. Points in time are on the gateway's own monotonic clock.
 
 mod actions;
 mod attempts;
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -1,49 +1,49 @@
-//! Actions that the router returns.
+//! Actions that the router returns to the gateway.
 
 use super::{Fill, MemberId, Micros, RequestId};
 
-/// A timer that the router set; the gateway hands it back when it comes due.
+/// A timer set by the router. When it is due, the gateway returns it in [`Event::Timer`](super::Event::Timer).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimerId(pub u64);
 
-/// What the gateway is to do, in this order.
+/// A step for the gateway to carry out. The actions of one event are carried out in their order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt. `fill: None` asks for what the member has cached, of any age.
+    /// Send an attempt to a member. With `fill: None`, a cache answers only with a cached copy, of any age.
     Attempt {
-        /// Whose attempt it is.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// Who is sent it.
+        /// The member that receives the attempt.
         member: MemberId,
-        /// When it times out.
+        /// Time from now after which the attempt times out.
         timeout: Micros,
-        /// What to do on a miss.
+        /// What the member does on a miss.
         fill: Option<Fill>,
     },
-    /// Final answer: a retry by the client is harmless, after `backoff` if given.
+    /// Refuse the request, as its final answer: the client may safely retry it, after `backoff` if given.
     Refuse {
-        /// Which request.
+        /// The request to refuse.
         request: RequestId,
-        /// Retry-After of the client.
+        /// The Retry-After value for the client, if any.
         backoff: Option<Micros>,
     },
-    /// Final answer: failed; whether the request ran is not known.
+    /// Fail the request, as its final answer: it is unknown whether it ran.
     Fail {
-        /// Which request.
+        /// The request to fail.
         request: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
-        /// Whose attempt it is.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// Its number.
+        /// Number of the attempt, counted from 0 for each request.
         attempt: u32,
     },
-    /// Hand the timer back after this span.
+    /// Start a timer.
     SetTimer {
-        /// The timer.
+        /// The timer to return when it is due.
         timer: TimerId,
-        /// The span.
+        /// Time from now until the timer is due.
         after: Micros,
     },
 }
--- a/src/interface/attempts.rs
+++ b/src/interface/attempts.rs
@@ -1,108 +1,109 @@
-//! Attempts: what a member is to do on a miss, how an attempt ended, and what the answer reported.
+//! Attempts: what a member does on a miss, how an attempt ended, and what its answer reported.
 
 use super::{MemberId, Micros};
 
 /// A member's load report.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Load {
-    /// Requests that it has in flight.
+    /// Number of requests that the member has in flight.
     pub inflight: Option<f64>,
-    /// Share of its processor time in use.
+    /// Share of the member's processor time in use, from 0 to 1.
     pub busy: Option<f64>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered.
+    /// The member answered the request.
     Served,
-    /// Answered with an error; it may have run.
+    /// The member answered with an error; the request may have run.
     Failed,
-    /// Rejected before it ran.
+    /// The member rejected the request before it ran.
     Rejected,
-    /// No answer in time; it may have run.
+    /// No answer arrived before the timeout; the request may have run.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection could be set up; the request never ran.
     Unreachable,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have run.
     Reset,
-    /// Cancelled by this gateway; it may have run.
+    /// This gateway cancelled the attempt; the request may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
-    /// The member has no usable copy and did not fill one; it never ran.
+    /// The member has no usable copy and did not fill one; the request never ran.
     Miss,
-    /// The member answered a health check and takes the work that follows; no work of this gateway ran.
+    /// The member picked for a lookup passed its health check and may be sent the work that follows; no request of this
+    /// gateway ran.
     Checked,
-    /// A code that this version does not know; it may have run.
+    /// The status code is unknown to this version; the request may have run.
     Unknown,
 }
 
 impl Outcome {
-    /// Whether the request may have run; the others prove that it never did.
+    /// Whether the request may have run. The other outcomes prove that it never ran.
     pub fn may_have_run(self) -> bool {
         !matches!(self, Outcome::Rejected | Outcome::Unreachable | Outcome::NotSent | Outcome::Miss)
     }
 }
 
-/// How the answer of an outcome came about.
+/// How a member obtained its answer, or why it could not.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Detail {
-    /// Not stated.
+    /// The answer does not say.
     #[default]
     Unspecified,
     /// The member had a fresh copy.
     Hit,
-    /// A fill of its own brought it.
+    /// The member filled a copy for this attempt.
     Filled,
-    /// A fill of its own brought it, from the origin.
+    /// The member filled a copy for this attempt, and the object came from the origin.
     FilledByOrigin,
-    /// A fill in progress brought it.
+    /// The attempt joined a fill in progress.
     Joined,
-    /// The member had a copy, which it revalidates.
+    /// The member served a stale copy, which it revalidates.
     Stale,
-    /// The source rejected the fill.
+    /// The fill source rejected the fill.
     SourceRefused,
-    /// The source was unreachable or its connection broke.
+    /// The fill source was unreachable or its connection broke.
     SourceLost,
-    /// The source has no copy and was not to fetch one.
+    /// The fill source has no copy and was asked not to fetch one.
     SourceLacks,
     /// The member has no free fill slot.
     NoFillPlace,
-    /// The origin failed.
+    /// The origin failed the fill.
     OriginFailed,
 }
 
 impl Detail {
-    /// A copy of the member was served.
+    /// Whether the answer came from a copy that the member had cached.
     pub fn hit(self) -> bool {
         matches!(self, Detail::Hit | Detail::Stale)
     }
 
-    /// A fill of its own brought the answer.
+    /// Whether the member filled a copy for this attempt.
     pub fn filled(self) -> bool {
         matches!(self, Detail::Filled | Detail::FilledByOrigin)
     }
 
-    /// That a source lacks the object is no failure of its own.
+    /// Whether the fill source failed. A source without a copy has not failed.
     pub fn source_failed(self) -> bool {
         matches!(self, Detail::SourceRefused | Detail::SourceLost | Detail::OriginFailed)
     }
 }
 
-/// What a member is to do on a miss.
+/// What a member does on a miss.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Fill {
-    /// Who supplies the copy; `None`: nobody, the member answers only from its cache.
+    /// The fill source; `None`: the member does not fill and answers only from its cache.
     pub source: Option<MemberId>,
-    /// At which rank the copy is cached, 1 to 3; 0: it is not.
+    /// The cache rank of the copy, from 1 to 3; 0: the copy is not cached.
     pub cache_rank: u8,
-    /// The greatest age of a usable copy, never zero; `None`: what the class allows.
+    /// Maximum age of a usable copy, never zero; `None`: the limit of the class applies.
     pub max_age: Option<Micros>,
-    /// Join a fill in progress.
+    /// Whether the request may join a fill in progress.
     pub join: bool,
-    /// The source gives only what it has cached, and fetches nothing itself.
+    /// Whether the fill source answers only from its cache, without a fill of its own.
     pub cached_only: bool,
-    /// Revalidate an ageing copy in the background while it is served.
+    /// Whether an ageing copy is revalidated in the background while it is served.
     pub background_refresh: bool,
 }
--- a/src/interface/endpoints.rs
+++ b/src/interface/endpoints.rs
@@ -1,59 +1,61 @@
-//! Caches, parents and origins, as discovery lists them.
+//! Members: the caches, parents and origins in discovery's endpoint list.
 
 use super::Micros;
 
-/// A cache, parent or origin process, as discovery names it.
+/// The id by which discovery names a cache, parent or origin process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MemberId(pub u32);
 
-/// What a member does.
+/// The role of a member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
-    /// Serves the clients of a location.
+    /// Serves the clients of a location from its cache.
     #[default]
     Cache,
-    /// Fills caches.
+    /// Is a fill source of caches, and caches objects itself.
     Parent,
-    /// Has all objects, and runs uncacheable requests.
+    /// Has all objects and runs uncacheable requests.
     Origin,
 }
 
 /// Whether a member may be sent new requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum MemberState {
-    /// It may.
+    /// The member accepts new requests.
     #[default]
     Serving,
-    /// It finishes what it has, and takes nothing new.
+    /// The member finishes its requests in flight and is sent no new ones.
     Draining,
-    /// It has left the list.
+    /// The member has been removed from the list.
     Gone,
 }
 
-/// A line of discovery's list.
+/// A member in discovery's endpoint list.
 #[derive(Clone, Debug, Default)]
 pub struct Member {
-    /// Its id.
+    /// The id of the member.
     pub id: MemberId,
-    /// What it does.
+    /// The role of the member.
     pub role: Role,
-    /// Index into [`Settings::zones`](super::Settings::zones); `None` for a zone that the settings do not name.
+    /// The member's zone, as an index into [`Settings::zones`](super::Settings::zones); `None`: a zone that the settings
+    /// do not name.
     pub zone: Option<usize>,
-    /// Part of its zone whose members drop repeats of each other.
+    /// The member's cell: the part of its zone whose members drop each other's duplicates.
     pub cell: u32,
-    /// Its share of the keys, or its capacity where `weights_are_capacities`.
+    /// The member's weight in hashing, or its capacity where
+    /// [`weights_are_capacities`](super::Settings::weights_are_capacities) is set.
     pub weight: f64,
-    /// When it last started; `None`: long ago.
+    /// When the member last started; `None`: so long ago that it is warm.
     pub started: Option<Micros>,
-    /// Whether it may be sent new requests.
+    /// Whether the member may be sent new requests.
     pub state: MemberState,
 }
 
-/// Which part of the list an update contains.
+/// Whether an update contains the whole endpoint list or only changes to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// All members: the others are gone.
+    /// All members. Members that are not listed are gone.
     Complete,
-    /// Members that have changed.
+    /// Only the members that have changed.
     Changes,
 }
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,93 +1,93 @@
-//! Events that a gateway hands to the router.
+//! Events that a gateway passes to the router.
 
 use super::{
     Detail, ListKind, Load, Member, MemberId, Micros, Outcome, Request, RequestId, Settings, TimerId,
 };
 use sagearch_feed::lease::Lease;
 
-/// What happened.
+/// An event that the router handles.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Discovery has reported members.
     Members {
-        /// Which part of the list it is.
+        /// Whether `members` is the whole list or only changes to it.
         kind: ListKind,
-        /// The members.
+        /// The reported members.
         members: Vec<Member>,
     },
     /// A client has sent a request.
     Request(Request),
     /// An attempt has ended.
     Outcome {
-        /// Whose attempt it was.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// Who was sent the attempt.
+        /// The member that the attempt was picked for.
         member: MemberId,
         /// Number of the attempt, counted from 0 for each request.
         attempt: u32,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// How its answer came about.
+        /// How the member obtained its answer, or why it could not.
         detail: Detail,
-        /// How long it took.
+        /// Time from when the attempt was picked until it ended.
         elapsed: Micros,
-        /// The request has had its final answer.
+        /// Whether the request has received its final answer.
         finished: bool,
-        /// The load report that came with it.
+        /// The member's load report that came with the answer.
         load: Load,
     },
-    /// The answer of this attempt has begun to stream to the client.
+    /// The answer to a request has begun to stream to the client.
     Streaming {
-        /// Whose answer it is.
+        /// The request that is being answered.
         request: RequestId,
     },
-    /// An object, or with no object a whole group, was purged `ago` before now.
+    /// An object or, without an object, a purge group was purged.
     Purged {
-        /// The object.
+        /// The purged object; `None`: a purge group was purged.
         object: Option<String>,
-        /// The group, where there is no object.
+        /// The purged group, used only if `object` is `None`.
         group: Option<u64>,
-        /// How long before now.
+        /// Time from the purge until now.
         ago: Micros,
     },
-    /// All objects and groups of a slice of the hash space count as purged `ago` before now.
+    /// All objects and purge groups in a slice of the hash space count as purged.
     SlicePurged {
-        /// Which slice.
+        /// Index of the slice, counted from 0.
         slice: u32,
-        /// How many slices there are.
+        /// Number of slices that divide the hash space.
         of: u32,
-        /// How long before now.
+        /// Time from the purge until now.
         ago: Micros,
     },
-    /// The freshness lease, and how many revalidations a second are allowed while it is expired. Without this event no
-    /// copy is revalidated for want of a lease.
+    /// The freshness lease was renewed. Until the first such event, the lack of a lease causes no revalidations.
     Freshness {
-        /// For how long the knowledge of purges is valid.
+        /// The freshness lease, which bounds how long purges can have been missed.
         lease: Lease,
-        /// Allowed for each second.
+        /// Number of revalidations per second allowed while the lease is expired.
         revalidations: u32,
     },
-    /// The client has left; nothing more is owed.
+    /// The client has disconnected: no answer is due any more.
     Abandoned {
-        /// Which request it was.
+        /// The request of that client.
         request: RequestId,
     },
-    /// A timer of the router is due.
+    /// A timer that the router set is due.
     Timer(TimerId),
-    /// The gateway ends: whatever is open is to be answered by then.
+    /// The gateway is shutting down.
     Ending {
-        /// The latest time for answers.
+        /// The shutdown deadline, by which all open requests are answered.
         by: Micros,
     },
-    /// New settings. Classes keep their indices: a class that has changed is appended as a new one.
+    /// The settings were replaced. Classes keep their indices: a changed class is appended as a new one.
     Retuned(Settings),
-    /// An operator takes a member out of service: it counts as draining until it is returned, whatever lists say.
+    /// An operator took a member out of service. It counts as draining until it is returned to service, whatever its
+    /// listed state is.
     OutOfService(MemberId),
-    /// An operator returns a member to service. It may have restarted meanwhile.
+    /// An operator returned a member to service. The member may have restarted in the meantime.
     ReturnedToService {
-        /// Which member.
+        /// The member that was returned to service.
         member: MemberId,
-        /// When it counts as started.
+        /// The time at which the member counts as started.
         started: Micros,
     },
 }
--- a/src/interface/requests.rs
+++ b/src/interface/requests.rs
@@ -1,29 +1,30 @@
-//! Clients' requests.
+//! Requests of clients.
 
 use super::Micros;
 
-/// One request of one client; never reused.
+/// The id of a client's request; never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
 /// A client's request.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// Its id.
+    /// The id of the request.
     pub id: RequestId,
-    /// Index into [`Settings::classes`](super::Settings::classes); `None` for a class that the settings do not name.
+    /// The request class, as an index into [`Settings::classes`](super::Settings::classes); `None`: a class that the
+    /// settings do not name.
     pub class: Option<usize>,
-    /// How long until the client gives up on this request.
+    /// Time from now until the client gives up on the request.
     pub timeout: Micros,
-    /// Size of the answer.
+    /// Size of the answer in KB.
     pub size_kb: f64,
-    /// Name of the object.
+    /// Name of the requested object.
     pub object: String,
-    /// Which part of the object.
+    /// Number of the requested part of the object.
     pub part: u32,
-    /// Group by which the object can be purged.
+    /// The purge group of the object, if any.
     pub purge_group: Option<u64>,
-    /// Asks for a member by name: its size is not known, and its attempts are checks, so that its times
-    /// say nothing of sending.
+    /// Whether this is a DNS lookup, which asks for a member instead of the object. The size of the answer is unknown, and
+    /// the attempts are health checks, whose durations are no sending times.
     pub is_lookup: bool,
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,8 +1,8 @@
-//! The settings by which the policies decide: request classes, zones and limits.
+//! The settings of the routing policies: request classes, zones and limits.
 
 use super::{Member, Micros};
 
-/// The caches that together drop the repeats of a request with an idempotency key.
+/// The set of caches that together drop duplicates of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationGroup {
     /// All caches.
@@ -14,7 +14,7 @@
 }
 
 impl DeduplicationGroup {
-    /// Whether two members drop each other's repeats.
+    /// Whether two members drop each other's duplicates.
     pub fn contains_both(self, one: &Member, other: &Member) -> bool {
         match self {
             DeduplicationGroup::All => true,
@@ -27,21 +27,21 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// It has an idempotency key: repeats are dropped inside the group for a time after the first attempt.
+    /// The request has an idempotency key: the caches of a group drop duplicates for a time after the first attempt.
     Keyed {
-        /// Who drops repeats.
+        /// The caches that drop duplicates.
         group: DeduplicationGroup,
-        /// For how long.
+        /// How long after the first attempt duplicates are dropped.
         window: Micros,
     },
-    /// It must not run twice.
+    /// The request must not run twice.
     NotIdempotent,
 }
 
 impl Idempotency {
-    /// Whether a retry by the client is harmless although the request may have run.
+    /// Whether the client may safely retry a request that may have run.
     pub fn client_may_retry(self) -> bool {
         matches!(self, Idempotency::Idempotent | Idempotency::Keyed { group: DeduplicationGroup::All, .. })
     }
@@ -50,48 +50,49 @@
 /// A request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name in the settings.
+    /// Name of the class in the settings.
     pub name: String,
-    /// An answer within `latency_objective + objective_stretch x own sending time` earns the full weight.
+    /// The latency objective without the sending time: an answer within `latency_objective + objective_stretch x sending
+    /// time of the answer` counts with the full priority weight.
     pub latency_objective: Micros,
-    /// How much of its own sending time the objective grants on top.
+    /// Multiple of the answer's sending time that is added to the latency objective.
     pub objective_stretch: f64,
-    /// How much an answer in time counts against those of other classes.
+    /// Weight of an answer within the latency objective, relative to answers of other classes.
     pub priority_weight: f64,
-    /// Share of the weight that an answer after the objective still earns.
+    /// Share of the priority weight with which an answer after the latency objective counts.
     pub late_weight_share: f64,
-    /// Whether its requests may run more than once.
+    /// Whether requests of this class may run more than once.
     pub idempotency: Idempotency,
-    /// How long a copy is fresh; `None`: until purged.
+    /// How long a copy stays fresh; `None`: until it is purged.
     pub fresh: Option<Micros>,
-    /// Runs at the origin and leaves no copy.
+    /// Whether requests of this class run at the origin and leave no cached copy.
     pub uncacheable: bool,
-    /// Attempts of one request at most.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
 }
 
 /// A zone: a location with caches and gateways, or a hub with parents.
 #[derive(Clone, Debug)]
 pub struct Zone {
-    /// Gateways that serve this zone.
+    /// Number of gateways that serve this zone.
     pub routers: u32,
 }
 
-/// How much a newly started member may be sent.
+/// The slow-start rule: how much a newly started member may be sent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SlowStartRule {
-    /// Least share of its capacity with which it starts.
+    /// Minimum share of its capacity that a member has when it starts.
     pub floor: f64,
-    /// It is warm after this at the latest.
+    /// Duration of the warm-up, after which a member has its full capacity.
     pub warm_up: Micros,
-    /// The multiple of its present capacity that it can be sent without failing.
+    /// Multiple of its current capacity that a member can be sent without failing.
     pub multiple: f64,
-    /// For how long it can be sent more than that without failing.
+    /// How long a member can be sent more than `multiple` allows without failing.
     pub window: Micros,
 }
 
 impl SlowStartRule {
-    /// Least share of its capacity that a member has at this age.
+    /// Minimum share of its capacity that a member has at the given time since its start.
     pub fn share(self, age: Micros) -> f64 {
         if age >= self.warm_up {
             return 1.0;
@@ -100,7 +101,7 @@
     }
 }
 
-/// What stays fixed until new settings come.
+/// The settings of a router. They stay the same until they are replaced as a whole.
 #[expect(
     clippy::struct_excessive_bools,
     reason = "independent switches of a deployment, not the states of one machine"
@@ -113,30 +114,30 @@
     pub zones: Vec<Zone>,
     /// This gateway's own zone, as an index into `zones`.
     pub zone: usize,
-    /// All gateways together.
+    /// Number of gateways in all zones.
     pub routers: u32,
-    /// KB a second of one transfer to a client at most.
+    /// Maximum rate of one transfer to a client, in KB per second.
     pub pace_kb_per_s: f64,
-    /// Member weights state the link in such transfers.
+    /// Whether member weights state the capacity of a member's link, in transfers at the maximum rate.
     pub weights_are_capacities: bool,
-    /// A request may have two attempts in flight at once.
+    /// Whether hedged requests are allowed: a second attempt while the first is in flight.
     pub hedging: bool,
-    /// Attempts in flight may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     pub may_cancel: bool,
-    /// Clients heed the Retry-After given with a rejection, up to this.
+    /// Longest Retry-After that clients obey; `None`: they obey none.
     pub max_backoff: Option<Micros>,
-    /// Requests may go directly to a parent or the origin.
+    /// Whether requests may be sent directly to a parent or the origin.
     pub direct_requests: bool,
-    /// Caches let a request join a fill in progress.
+    /// Whether caches let a request join a fill in progress.
     pub joins_fills: bool,
-    /// Other caches of the location may be sources of fills, of what they have cached.
+    /// Whether other caches of the location may be fill sources, from their cached copies only.
     pub sibling_fills: bool,
-    /// Slow start of caches.
+    /// The slow-start rule for caches.
     pub cache_slow_start: SlowStartRule,
-    /// Slow start of parents.
+    /// The slow-start rule for parents.
     pub parent_slow_start: SlowStartRule,
-    /// All copies older than a purge are gone after this.
+    /// Time after a purge by which all older copies are gone.
     pub purge_propagation: Micros,
-    /// The shortest time between two rounds of events.
+    /// Shortest interval between two ticks.
     pub tick: Micros,
 }
--- a/src/interface/shared_budget.rs
+++ b/src/interface/shared_budget.rs
@@ -1,75 +1,75 @@
-//! A budget of retries that gateways share.
+//! The retry budget that gateways share.
 
 use super::Micros;
 
-/// The payment for one attempt from a budget that gateways share.
+/// The payment for one attempt from a shared retry budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryPayment {
-    /// The slice of the budget.
+    /// The budget slice that the payment was taken from.
     pub slice: sagearch_homes::Slice,
-    /// The claim under which it was granted: void when that is fenced. `None`: this gateway's reserve, or what the
-    /// quorum of the region granted.
+    /// The claim under which the payment was granted; fencing the claim voids the payment. `None`: it came from this
+    /// gateway's reserve, or from a grant by the quorum of the region.
     pub claim: Option<sagearch_homes::Claim>,
 }
 
-/// A budget that gateways share, as one of them sees it.
+/// A retry budget shared among gateways, as seen by one of them.
 pub trait RetryBudget: Send {
-    /// Announces that an attempt will have to be paid for at the time `at`.
+    /// Announces that an attempt will need a payment at the time `at`.
     fn expect(&mut self, now: Micros, at: Micros);
-    /// Does what is due, such as requests for more quota. To be called at each tick of the broker.
+    /// Runs periodic work, such as requests for more quota. Called at each tick of the broker.
     fn tick(&mut self, now: Micros);
-    /// Pays for one attempt; `None`: nothing is left.
+    /// Pays for one attempt; `None`: the budget is exhausted.
     fn spend(&mut self, now: Micros) -> Option<RetryPayment>;
-    /// Whether a payment is still valid: not where its claim is fenced.
+    /// Whether a payment is still valid, which it is unless its claim has been fenced.
     fn is_valid(&self, payment: &RetryPayment) -> bool;
 }
 
-/// The shared budget of retries at the origin. Without one, all retries are allowed here.
+/// The optional shared budget for retries at the origin. Without a budget, [`pay`](Self::pay) allows every retry.
 #[derive(Default)]
 pub struct SharedRetryBudget {
     budget: Option<Box<dyn RetryBudget>>,
-    /// The payment for the attempt that is sent next.
+    /// The payment for the next attempt, until it is picked.
     payment: Option<RetryPayment>,
 }
 
 impl SharedRetryBudget {
-    /// Sets the budget.
+    /// Sets the shared budget.
     pub fn set(&mut self, budget: Box<dyn RetryBudget>) {
         self.budget = Some(budget);
     }
 
-    /// Whether there is one: it replaces the retry budget of a gateway alone.
+    /// Whether a shared budget is set. It replaces the gateway's own retry budget.
     pub fn is_set(&self) -> bool {
         self.budget.is_some()
     }
 
-    /// An attempt is to be paid for after a backoff.
+    /// Announces that an attempt will need a payment at the time `at`, after a backoff.
     pub fn expect(&mut self, now: Micros, at: Micros) {
         if let Some(budget) = &mut self.budget {
             budget.expect(now, at);
         }
     }
 
-    /// Does what is due in the budget.
+    /// Runs the periodic work of the shared budget.
     pub fn tick(&mut self, now: Micros) {
         if let Some(budget) = &mut self.budget {
             budget.tick(now);
         }
     }
 
-    /// Pays for the attempt that is sent next; `false`: nothing is left.
+    /// Pays for the next attempt; `false`: the budget is exhausted.
     pub fn pay(&mut self, now: Micros) -> bool {
         let Some(budget) = &mut self.budget else { return true };
         self.payment = budget.spend(now);
         self.payment.is_some()
     }
 
-    /// Takes the payment for the attempt that was just sent.
+    /// Takes the payment for the attempt that was just picked, if one was needed.
     pub fn take_payment(&mut self) -> Option<RetryPayment> {
         self.payment.take()
     }
 
-    /// Whether the payment for an attempt is still valid; true without a budget.
+    /// Whether a payment is still valid; true without a shared budget.
     pub fn is_valid(&self, payment: &RetryPayment) -> bool {
         self.budget.as_ref().is_none_or(|budget| budget.is_valid(payment))
     }
--- a/src/interface/time.rs
+++ b/src/interface/time.rs
@@ -1,14 +1,14 @@
-//! Points in time and spans.
+//! Points in time and durations.
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// A span in seconds.
-pub fn seconds(span: Micros) -> f64 {
-    span as f64 / 1e6
+/// Converts a duration to seconds.
+pub fn seconds(duration: Micros) -> f64 {
+    duration as f64 / 1e6
 }
 
-/// What is left of a part after a time, of which half is left after `half`.
-pub fn fade(passed: Micros, half: Micros) -> f64 {
-    0.5_f64.powf(passed as f64 / half as f64)
+/// The factor, from 1 to 0, by which a value decays exponentially in the elapsed time.
+pub fn fade(elapsed: Micros, half_life: Micros) -> f64 {
+    0.5_f64.powf(elapsed as f64 / half_life as f64)
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,10 @@
-//! A cache gateway: the decisions of a request router for caches that fill from parent caches and an
-//! origin, and round them the sockets. `README.md` shows how the parts fit.
+//! A cache gateway: it routes requests to caches, which fill from parent caches and an origin, and serves them
+//! over sockets. `README.md` describes how the parts fit together.
 //!
-//! A front hands requests to the [`broker`], the only one that speaks to the module itself. It makes one
-//! [`Router`] from its [`Settings`](interface::Settings), hands it every [`Event`](interface::Event) with
-//! the time, and carries out the [`Action`](interface::Action)s in their order. The router holds no clock,
-//! does no I/O and starts no threads.
+//! Frontends pass requests to the [`broker`], the only caller of the [`Router`]. The broker creates one router from
+//! its [`Settings`](interface::Settings), passes it every [`Event`](interface::Event) together with the current time,
+//! and carries out the returned [`Action`](interface::Action)s in order. The router reads no clock, does no I/O and
+//! starts no threads.
 //!
 //! ```
 //! use sagearch::{Router, interface::*};
--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -127,7 +127,7 @@
     /// Applies new settings to the connections to stores and to the policies.
     pub(super) fn retune(&self, deployment: &Deployment, sockets: usize) {
         self.stores.set_limits(store_limits(deployment.names.connections, sockets));
-        self.broker().retune(self.clock.now(), deployment.settings.clone());
+        self.broker().replace_settings(self.clock.now(), deployment.settings.clone());
     }
 
     /// Why this process is not to get clients now; `None`: it is ready.
@@ -141,7 +141,7 @@
         if self.guard.version.sealed() {
             return Some("the operators' file can't be used");
         }
-        self.broker().drained().map(|_| "drained")
+        self.broker().draining_since().map(|_| "drained")
     }
 
     /// Has each open request look whether its client is still connected.
@@ -237,7 +237,7 @@
     }
 
     fn is_drained(&self) -> bool {
-        self.broker().drained().is_some()
+        self.broker().draining_since().is_some()
     }
 
     fn is_handed_over(&self) -> bool {
--- a/src/net/core/request.rs
+++ b/src/net/core/request.rs
@@ -142,7 +142,9 @@
     fn report_end(&self, planned: &PlannedAttempt, reply: &Reply) -> NextStep {
         let now = self.core.clock.now();
         let outcome = match (self.work, reply.end.outcome()) {
-            (Work::Check, Outcome::Checked) => return self.core.broker().report_check_passed(now, planned),
+            (Work::Check, Outcome::Checked) => {
+                return self.core.broker().report_health_check_passed(now, planned);
+            }
             // The answer to a pull does not show that a check passed, nor the other way round.
             (Work::Check, Outcome::Served) | (Work::Pull(_), Outcome::Checked) => Outcome::Failed,
             (_, outcome) => outcome,
--- a/src/net/core/shutdown.rs
+++ b/src/net/core/shutdown.rs
@@ -83,7 +83,7 @@
             let elapsed = self.elapsed_since(*stopped_at);
             return Some(ConnectionDraining { elapsed, idle_grace, request_grace: idle_grace });
         }
-        let drained_at = self.broker().drained()?;
+        let drained_at = self.broker().draining_since()?;
         Some(ConnectionDraining {
             elapsed: self.elapsed_since(drained_at),
             idle_grace: DRAINED_IDLE_GRACE,
--- a/src/net/lifecycle/control_side.rs
+++ b/src/net/lifecycle/control_side.rs
@@ -157,7 +157,7 @@
         };
         let started = cluster::start(joining)?;
         let Some(started) = started else { return Ok(()) };
-        started.budgets.into_iter().for_each(|budget| self.broker().share_budget(budget));
+        started.budgets.into_iter().for_each(|budget| self.broker().set_shared_retry_budget(budget));
         self.shared = Some(started.shared);
         Ok(())
     }
--- a/src/net/lifecycle/intents/worker.rs
+++ b/src/net/lifecycle/intents/worker.rs
@@ -67,7 +67,7 @@
     }
     if new.drained != held.drained {
         log::info!("{}", if new.drained { "the gateway is being emptied" } else { "the drain is over" });
-        broker.drain(now, new.drained);
+        broker.set_draining(now, new.drained);
     }
     *held = new;
 }
--- a/tests/broker.rs
+++ b/tests/broker.rs
@@ -144,10 +144,10 @@
     let first = attempt(broker.pick(0, by_name(1), Caller::anonymous(), RecordingWaiter::default()));
     let gone = Member { state: MemberState::Gone, ..member(first.member.0, Role::Cache) };
     broker.members(MS, ListKind::Changes, vec![gone]);
-    let NextStep::Verdict(next) = broker.report_check_passed(2 * MS, &first) else { panic!() };
+    let NextStep::Verdict(next) = broker.report_health_check_passed(2 * MS, &first) else { panic!() };
     let second = attempt(Some(next));
     assert_ne!(first.member, second.member);
-    assert_eq!(broker.report_check_passed(3 * MS, &second), NextStep::Done);
+    assert_eq!(broker.report_health_check_passed(3 * MS, &second), NextStep::Done);
 }
 
 /// A health check takes hardly any time. Were that learned as sending time, the next request would time out too soon.
@@ -166,7 +166,7 @@
             let by_name = Request { is_lookup: true, object: format!("o{id}"), ..request(id, 0) };
             let planned =
                 attempt(broker.pick(21 * SECOND, by_name, Caller::anonymous(), RecordingWaiter::default()));
-            assert_eq!(broker.report_check_passed(21 * SECOND + MS, &planned), NextStep::Done);
+            assert_eq!(broker.report_health_check_passed(21 * SECOND + MS, &planned), NextStep::Done);
         }
         let planned =
             attempt(broker.pick(22 * SECOND, sized(1_000), Caller::anonymous(), RecordingWaiter::default()));
--- a/tests/recorded_decisions/broker_world.rs
+++ b/tests/recorded_decisions/broker_world.rs
@@ -127,7 +127,7 @@
     fn start_broker(&mut self) {
         self.broker.members(self.now, ListKind::Complete, self.members.values().cloned().collect());
         if self.workload.shared_budget {
-            self.broker.share_budget(Box::new(Budget::full(self.now)));
+            self.broker.set_shared_retry_budget(Box::new(Budget::full(self.now)));
         }
     }
 
@@ -215,7 +215,7 @@
         let attempt = self.open.get_mut(&request).and_then(|open| open.remove(&number));
         let Some(attempt) = attempt else { return };
         let next = match how.outcome {
-            Outcome::Checked => self.broker.report_check_passed(self.now, &attempt.planned),
+            Outcome::Checked => self.broker.report_health_check_passed(self.now, &attempt.planned),
             _ => self.broker.report(self.now, RequestId(request), number, how),
         };
         self.write(format_args!("ended request={request} number={number} next=({})", encoding::next(&next)));
@@ -421,8 +421,8 @@
     fn operate(&mut self) {
         if self.chance(200) {
             self.drained = !self.drained;
-            self.broker.drain(self.now, self.drained);
-            let drained = self.broker.drained();
+            self.broker.set_draining(self.now, self.drained);
+            let drained = self.broker.draining_since();
             return self.write(format_args!("drained={}", drained.unwrap_or(0)));
         }
         let id = self.pick_member();
@@ -436,7 +436,7 @@
                 self.broker.take_out_of_service(self.now, id);
             }
         }
-        let serving = self.broker.serving(id);
+        let serving = self.broker.is_serving(id);
         self.write(format_args!("serving={serving} member={}", id.0));
     }
 
@@ -451,7 +451,7 @@
             4 => self.settings.cache_slow_start.multiple = 1.5 + self.below(4) as f64,
             _ => self.settings.direct_requests = !self.settings.direct_requests,
         }
-        self.broker.retune(now, self.settings.clone());
+        self.broker.replace_settings(now, self.settings.clone());
     }
 
     fn renew_lease(&mut self) {
