--- a/src/average.rs
+++ b/src/average.rs
@@ -1,6 +1,6 @@
 //! Averages over time, for values that a gateway observes too seldom to act on single observations.
 
-use crate::interface::{Micros, fade};
+use crate::interface::{Micros, decay};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
@@ -14,7 +14,7 @@
 impl Average {
     /// The average at `now`, where the level has not moved since it was last recorded.
     pub fn at(&self, now: Micros, level: f64, half_life: Micros) -> f64 {
-        level + (self.value - level) * fade(now.saturating_sub(self.updated_at), half_life)
+        level + (self.value - level) * decay(now.saturating_sub(self.updated_at), half_life)
     }
 
     /// Records the level until now. To be called before the level moves.
--- a/src/broker.rs
+++ b/src/broker.rs
@@ -134,7 +134,7 @@
     /// the latest.
     pub fn end_by(&mut self, now: Micros, deadline: Micros) {
         self.shutdown_deadline = Some(deadline);
-        self.apply(now, Event::Ending { by: deadline });
+        self.apply(now, Event::Ending { deadline });
         let final_verdict_at = deadline.saturating_sub(SHUTDOWN_MARGIN_TICKS * self.router.settings.tick);
         for id in self.open_requests.keys() {
             self.timers.set_policy(final_verdict_at, TimerId(id.0));
@@ -177,7 +177,7 @@
     /// hash space.
     pub fn slice_purged(&mut self, now: Micros, slice: u32, slice_count: u32, ago: Micros) {
         self.purges.enter_slice(slice, slice_count, now);
-        self.router.handle(now, Event::SlicePurged { slice, of: slice_count, ago }, &mut Vec::new());
+        self.router.handle(now, Event::SlicePurged { slice, slice_count, ago }, &mut Vec::new());
     }
 
     /// Whether a member may be sent new requests.
--- a/src/broker/administration.rs
+++ b/src/broker/administration.rs
@@ -43,7 +43,7 @@
 
     /// Replaces the settings. Classes keep their indices: a changed class is appended as a new one.
     pub fn replace_settings(&mut self, now: Micros, settings: Settings) {
-        self.router.handle(now, Event::Retuned(settings), &mut Vec::new());
+        self.router.handle(now, Event::SettingsReplaced(settings), &mut Vec::new());
     }
 
     /// Sets the budget, shared among gateways, that pays for retries at the origin.
--- a/src/broker/freshness.rs
+++ b/src/broker/freshness.rs
@@ -21,11 +21,7 @@
     /// Replaces the freshness lease. From the first call on, copies are revalidated while the lease is expired, at most
     /// `revalidations_per_second`.
     pub fn renew_freshness(&mut self, now: Micros, lease: Lease, revalidations_per_second: u32) {
-        self.router.handle(
-            now,
-            Event::Freshness { lease, revalidations: revalidations_per_second },
-            &mut Vec::new(),
-        );
+        self.router.handle(now, Event::Freshness { lease, revalidations_per_second }, &mut Vec::new());
     }
 
     /// A report on the freshness lease; `None`: none was ever set.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -18,4 +18,4 @@
 pub use requests::{Request, RequestId};
 pub use settings::{Class, DeduplicationGroup, Idempotency, Settings, SlowStartRule, Zone};
 pub use shared_budget::{RetryBudget, RetryPayment, SharedRetryBudget};
-pub use time::{Micros, fade, seconds};
+pub use time::{Micros, decay, seconds};
--- a/src/interface/endpoints.rs
+++ b/src/interface/endpoints.rs
@@ -37,8 +37,8 @@
     pub id: MemberId,
     /// The role of the member.
     pub role: Role,
-    /// The member's zone, as an index into [`Settings::zones`](super::Settings::zones); `None`: a zone that the settings
-    /// do not name.
+    /// The member's zone, as an index into [`Settings::zones`](super::Settings::zones); `None`: a zone that the
+    /// settings do not name.
     pub zone: Option<usize>,
     /// The member's cell: the part of its zone whose members drop each other's duplicates.
     pub cell: u32,
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -55,7 +55,7 @@
         /// Index of the slice, counted from 0.
         slice: u32,
         /// Number of slices that divide the hash space.
-        of: u32,
+        slice_count: u32,
         /// Time from the purge until now.
         ago: Micros,
     },
@@ -64,7 +64,7 @@
         /// The freshness lease, which bounds how long purges can have been missed.
         lease: Lease,
         /// Number of revalidations per second allowed while the lease is expired.
-        revalidations: u32,
+        revalidations_per_second: u32,
     },
     /// The client has disconnected: no answer is due any more.
     Abandoned {
@@ -76,10 +76,10 @@
     /// The gateway is shutting down.
     Ending {
         /// The shutdown deadline, by which all open requests are answered.
-        by: Micros,
+        deadline: Micros,
     },
     /// The settings were replaced. Classes keep their indices: a changed class is appended as a new one.
-    Retuned(Settings),
+    SettingsReplaced(Settings),
     /// An operator took a member out of service. It counts as draining until it is returned to service, whatever its
     /// listed state is.
     OutOfService(MemberId),
--- a/src/interface/requests.rs
+++ b/src/interface/requests.rs
@@ -24,7 +24,7 @@
     pub part: u32,
     /// The purge group of the object, if any.
     pub purge_group: Option<u64>,
-    /// Whether this is a DNS lookup, which asks for a member instead of the object. The size of the answer is unknown, and
-    /// the attempts are health checks, whose durations are no sending times.
+    /// Whether this is a DNS lookup, which asks for a member instead of the object. The size of the answer is unknown,
+    /// and the attempts are health checks, whose durations are no sending times.
     pub is_lookup: bool,
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -52,8 +52,8 @@
 pub struct Class {
     /// Name of the class in the settings.
     pub name: String,
-    /// The latency objective without the sending time: an answer within `latency_objective + objective_stretch x sending
-    /// time of the answer` counts with the full priority weight.
+    /// The latency objective without the sending time: an answer within `latency_objective + objective_stretch x
+    /// sending time of the answer` counts with the full priority weight.
     pub latency_objective: Micros,
     /// Multiple of the answer's sending time that is added to the latency objective.
     pub objective_stretch: f64,
--- a/src/interface/time.rs
+++ b/src/interface/time.rs
@@ -9,6 +9,6 @@
 }
 
 /// The factor, from 1 to 0, by which a value decays exponentially in the elapsed time.
-pub fn fade(elapsed: Micros, half_life: Micros) -> f64 {
+pub fn decay(elapsed: Micros, half_life: Micros) -> f64 {
     0.5_f64.powf(elapsed as f64 / half_life as f64)
 }
--- a/src/policy/fill_waits.rs
+++ b/src/policy/fill_waits.rs
@@ -3,7 +3,7 @@
 use super::Router;
 use super::learning::LEARNING_RATE;
 use super::load::REPORT_HALF_LIFE;
-use crate::interface::{Detail, MemberId, Outcome, RequestId, fade, seconds};
+use crate::interface::{Detail, MemberId, Outcome, RequestId, decay, seconds};
 use crate::state::{Attempt, FillWait};
 
 /// Fills that must be in flight for their wait so far to count.
@@ -15,7 +15,7 @@
     /// Seconds that fills of this source waited lately; fades while none are seen.
     pub(super) fn fill_wait(&self, id: MemberId) -> f64 {
         let FillWait { measured_at, seconds } = self.members[&id].fill_wait;
-        seconds * fade(self.now - measured_at, REPORT_HALF_LIFE * 2)
+        seconds * decay(self.now - measured_at, REPORT_HALF_LIFE * 2)
     }
 
     /// The longest that an answer from this source is overdue now: timeouts alone would show it too late.
--- a/src/policy/learning.rs
+++ b/src/policy/learning.rs
@@ -1,7 +1,7 @@
 //! What is learned from the outcome of an attempt, and how fast.
 
 use super::Router;
-use crate::interface::{Detail, Micros, Outcome, RequestId, Role, fade};
+use crate::interface::{Detail, Micros, Outcome, RequestId, Role, decay};
 use crate::state::Attempt;
 
 /// Weight of one observation in an exponential moving average.
@@ -15,7 +15,7 @@
     /// The weight of an observation after the last one. Rare observations weigh more: else a fault would be
     /// over before the average shows it.
     pub(super) fn learning_rate(&self, least: f64, last_observation: Micros) -> f64 {
-        least.max(1.0 - fade(self.now - last_observation, LEARNING_HALF_LIFE))
+        least.max(1.0 - decay(self.now - last_observation, LEARNING_HALF_LIFE))
     }
 
     /// Learns from an attempt that has ended.
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -2,7 +2,7 @@
 
 use super::Router;
 use super::learning::LEARNING_RATE;
-use crate::interface::{Load, MemberId, Micros, Role, fade};
+use crate::interface::{Load, MemberId, Micros, Role, decay};
 use crate::state::ReportedLoad;
 
 /// Half-life of load reports. Signs of health older than this are not used.
@@ -29,7 +29,7 @@
         };
         let seen = (f64::from(record.in_flight) + others_in_flight)
             / (record.capacity * self.capacity_share(record)).max(0.05);
-        usual + (seen - usual) * fade(self.now - at, REPORT_HALF_LIFE)
+        usual + (seen - usual) * decay(self.now - at, REPORT_HALF_LIFE)
     }
 
     /// Half-life of the average attempts in flight: longer, the more gateways share the members.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -103,11 +103,11 @@
             Event::Purged { object, group, ago } => {
                 return self.record_purge(object.as_deref(), group, ago);
             }
-            Event::SlicePurged { slice, of, ago } => {
-                return self.purges.enter_slice(slice, of, self.now.saturating_sub(ago));
+            Event::SlicePurged { slice, slice_count, ago } => {
+                return self.purges.enter_slice(slice, slice_count, self.now.saturating_sub(ago));
             }
-            Event::Freshness { lease, revalidations } => {
-                return self.freshness.renew(self.now, lease, revalidations);
+            Event::Freshness { lease, revalidations_per_second } => {
+                return self.freshness.renew(self.now, lease, revalidations_per_second);
             }
             Event::Streaming { .. } => return,
             Event::Request(request) => self.start_request(request, actions),
@@ -129,10 +129,13 @@
             }
             Event::Abandoned { request } => self.finish(request, actions),
             Event::Timer(timer) => self.handle_timer(RequestId(timer.0), actions),
-            Event::Ending { by } => {
-                return self.requests.values_mut().for_each(|state| state.deadline = state.deadline.min(by));
+            Event::Ending { deadline } => {
+                return self
+                    .requests
+                    .values_mut()
+                    .for_each(|state| state.deadline = state.deadline.min(deadline));
             }
-            Event::Retuned(settings) => {
+            Event::SettingsReplaced(settings) => {
                 let learned = std::mem::take(&mut self.learned);
                 return self.resume(learned, settings);
             }
