--- a/tests/broker.rs
+++ b/tests/broker.rs
@@ -1,4 +1,4 @@
-//! The broker in simulated time: requests, attempts and outcomes, without sockets.
+//! Tests of the broker in simulated time, without sockets: requests, attempts and outcomes.
 
 mod common;
 #[path = "broker/first_byte.rs"]
@@ -64,14 +64,14 @@
 }
 
 #[test]
-fn report_of_a_failure_returns_a_retry_and_of_a_success_the_end() {
+fn report_of_a_failure_returns_a_retry_and_of_a_success_done() {
     let mut broker = broker();
     let first = attempt(broker.pick(MS, request(1, 0), Caller::anonymous(), RecordingWaiter::default()));
     let NextStep::Verdict(next) = report(&mut broker, 2 * MS, &first, Outcome::Unreachable) else { panic!() };
     let second = attempt(Some(next));
     assert_eq!((first.attempt, second.attempt), (0, 1));
     assert_ne!(first.member, second.member);
-    // A late report of the first changes nothing.
+    // A late report on the first attempt is ignored.
     assert_eq!(report(&mut broker, 3 * MS, &first, Outcome::Served), NextStep::Wait);
     assert_eq!(report(&mut broker, 4 * MS, &second, Outcome::Served), NextStep::Done);
     assert_eq!(report(&mut broker, 5 * MS, &second, Outcome::Served), NextStep::Wait);
@@ -122,9 +122,10 @@
     assert!(waiter.verdicts.borrow().is_empty() && broker.open_requests() == 0);
 }
 
-/// Its deadline was computed before the end was known, or without regard to it, as that of a look-up by name is.
+/// A request may bring a timeout beyond the shutdown deadline: it was computed before the shutdown was known or, as for
+/// DNS lookups, without regard to it.
 #[test]
-fn request_taken_after_the_end_is_known_is_answered_before_it() {
+fn request_with_a_timeout_beyond_the_shutdown_deadline_is_answered_before_it() {
     let (mut broker, waiter) = (broker(), RecordingWaiter::default());
     broker.end_by(0, 500 * MS);
     attempt(broker.pick(100 * MS, request(1, 0), Caller::anonymous(), waiter.clone()));
@@ -138,10 +139,10 @@
 }
 
 #[test]
-fn lookup_of_a_checked_member_that_left_goes_to_the_next() {
+fn lookup_whose_checked_member_is_gone_continues_with_the_next_member() {
     let mut broker = broker();
-    let by_name = |id| Request { is_lookup: true, ..request(id, 0) };
-    let first = attempt(broker.pick(0, by_name(1), Caller::anonymous(), RecordingWaiter::default()));
+    let lookup = |id| Request { is_lookup: true, ..request(id, 0) };
+    let first = attempt(broker.pick(0, lookup(1), Caller::anonymous(), RecordingWaiter::default()));
     let gone = Member { state: MemberState::Gone, ..member(first.member.0, Role::Cache) };
     broker.members(MS, ListKind::Changes, vec![gone]);
     let NextStep::Verdict(next) = broker.report_health_check_passed(2 * MS, &first) else { panic!() };
@@ -150,32 +151,40 @@
     assert_eq!(broker.report_health_check_passed(3 * MS, &second), NextStep::Done);
 }
 
-/// A health check takes hardly any time. Were that learned as sending time, the next request would time out too soon.
+/// A health check takes hardly any time. If that were learned as a sending time, the next request would time out early.
 #[test]
-fn health_checks_teach_no_sending_times() {
-    let sized = |id| Request { size_kb: 500.0, ..request(id, 0) };
-    let play = |checks: u64| {
+fn health_checks_do_not_change_learned_sending_times() {
+    let sized_request = |id| Request { size_kb: 500.0, ..request(id, 0) };
+    let attempt_after = |checks: u64| {
         let mut broker = broker();
         for id in 0..20 {
-            let planned =
-                attempt(broker.pick(id * SECOND, sized(id), Caller::anonymous(), RecordingWaiter::default()));
+            let planned = attempt(broker.pick(
+                id * SECOND,
+                sized_request(id),
+                Caller::anonymous(),
+                RecordingWaiter::default(),
+            ));
             let filled = AttemptReport { detail: Detail::Filled, ..Outcome::Served.into() };
             broker.report(id * SECOND + 600 * MS, planned.request, 0, filled);
         }
         for id in 100..100 + checks {
-            let by_name = Request { is_lookup: true, object: format!("o{id}"), ..request(id, 0) };
+            let lookup = Request { is_lookup: true, object: format!("o{id}"), ..request(id, 0) };
             let planned =
-                attempt(broker.pick(21 * SECOND, by_name, Caller::anonymous(), RecordingWaiter::default()));
+                attempt(broker.pick(21 * SECOND, lookup, Caller::anonymous(), RecordingWaiter::default()));
             assert_eq!(broker.report_health_check_passed(21 * SECOND + MS, &planned), NextStep::Done);
         }
-        let planned =
-            attempt(broker.pick(22 * SECOND, sized(1_000), Caller::anonymous(), RecordingWaiter::default()));
+        let planned = attempt(broker.pick(
+            22 * SECOND,
+            sized_request(1_000),
+            Caller::anonymous(),
+            RecordingWaiter::default(),
+        ));
         (planned.member, planned.timeout, planned.fill)
     };
-    assert_eq!(play(0), play(200));
+    assert_eq!(attempt_after(0), attempt_after(200));
 }
 
-/// Lookups count like requests against the slow start of a cache.
+/// Lookups count against the slow start of a cache like other requests.
 #[test]
 fn lookups_are_charged_to_the_slow_start_of_a_member() {
     let mut settings = settings();
@@ -183,29 +192,31 @@
     let mut broker: Broker<RecordingWaiter> = Broker::new(settings, 1);
     let cold = Member { started: Some(100 * SECOND), ..member(1, Role::Cache) };
     broker.members(100 * SECOND, ListKind::Complete, vec![cold, member(20, Role::Origin)]);
-    let mut taken = 0;
-    let sized = |id| Request { size_kb: 500.0, ..request(id, 0) };
-    // The first, sized requests teach the mean; the lookups that follow spend what is left.
+    let mut sent = 0;
+    let sized_request = |id| Request { size_kb: 500.0, ..request(id, 0) };
+    // The mean sending time is learned from the first requests, which state a size. The lookups that follow use up the
+    // rest of the budget.
     for id in 0..200 {
-        let asked = if id < 3 { sized(id) } else { Request { is_lookup: true, ..request(id, 0) } };
+        let next_request =
+            if id < 3 { sized_request(id) } else { Request { is_lookup: true, ..request(id, 0) } };
         let now = 100 * SECOND + id * MS;
         let Some(Verdict::Attempt(planned)) =
-            broker.pick(now, asked, Caller::anonymous(), RecordingWaiter::default())
+            broker.pick(now, next_request, Caller::anonymous(), RecordingWaiter::default())
         else {
             continue;
         };
-        taken += 1;
-        let how = if id < 3 { Outcome::Served } else { Outcome::Checked };
-        report(&mut broker, now, &planned, how);
+        sent += 1;
+        let outcome = if id < 3 { Outcome::Served } else { Outcome::Checked };
+        report(&mut broker, now, &planned, outcome);
     }
-    assert!((1..20).contains(&taken), "{taken}");
+    assert!((1..20).contains(&sent), "{sent}");
 }
 
-/// While two processes are the gateway, each sends a cache in slow start half of the gateway's part; and the new one
-/// resumes with what the old one has learned.
+/// During an upgrade, each of the gateway's two processes sends a cache in slow start half of the gateway's share, and
+/// the new process resumes with the learned state of the previous one.
 #[test]
 fn two_processes_share_slow_start_and_learned_state() {
-    let taken = |processes: u8| {
+    let run_with = |processes: u8| {
         let settings = Settings { direct_requests: false, ..settings() };
         let mut broker: Broker<RecordingWaiter> = Broker::new(settings, 1);
         let cold = Member { started: Some(100 * SECOND), ..member(1, Role::Cache) };
@@ -214,9 +225,9 @@
         let mut sent = 0;
         for id in 0..800 {
             let now = 100 * SECOND + id * 2 * MS;
-            let asked = Request { size_kb: 50.0, object: format!("o{id}"), ..request(id, 0) };
+            let next_request = Request { size_kb: 50.0, object: format!("o{id}"), ..request(id, 0) };
             let Some(Verdict::Attempt(planned)) =
-                broker.pick(now, asked, Caller::anonymous(), RecordingWaiter::default())
+                broker.pick(now, next_request, Caller::anonymous(), RecordingWaiter::default())
             else {
                 continue;
             };
@@ -225,22 +236,28 @@
         }
         (sent, broker)
     };
-    let ((alone, old), (shared, mut new)) = (taken(1), taken(2));
-    assert!(shared * 3 < alone * 2 && shared > 0, "{shared} of {alone}");
-    let counted =
+    let ((sent_by_one, previous), (sent_by_one_of_two, mut new)) = (run_with(1), run_with(2));
+    assert!(
+        sent_by_one_of_two * 3 < sent_by_one * 2 && sent_by_one_of_two > 0,
+        "{sent_by_one_of_two} of {sent_by_one}"
+    );
+    let learned_counts =
         |broker: &Broker<RecordingWaiter>| serde_json::to_value(broker.learned()).unwrap()["counts"].clone();
-    new.take_over(serde_json::from_value(serde_json::json!(old.learned())).unwrap());
-    assert_eq!(counted(&new), counted(&old));
+    new.take_over(serde_json::from_value(serde_json::json!(previous.learned())).unwrap());
+    assert_eq!(learned_counts(&new), learned_counts(&previous));
 }
 
-/// At the end of the process each open request is answered by the rules of its class, in time and no sooner than it has to be.
+/// At shutdown each open request is answered as its class requires, before the deadline but no earlier than necessary.
 #[rstest]
-#[case::repeatable(0, false)]
-#[case::run_once(2, true)]
-fn open_requests_at_the_process_end_are_answered_in_time(#[case] class: usize, #[case] fails: bool) {
+#[case::idempotent(0, false)]
+#[case::not_idempotent(2, true)]
+fn open_requests_at_shutdown_are_answered_just_before_the_deadline(
+    #[case] class: usize,
+    #[case] fails: bool,
+) {
     let (mut broker, waiter) = (broker(), RecordingWaiter::default());
-    let sized = Request { timeout: 60 * SECOND, size_kb: 60_000.0, ..request(1, class) };
-    attempt(broker.pick(0, sized, Caller::anonymous(), waiter.clone()));
+    let sized_request = Request { timeout: 60 * SECOND, size_kb: 60_000.0, ..request(1, class) };
+    attempt(broker.pick(0, sized_request, Caller::anonymous(), waiter.clone()));
     broker.end_by(SECOND, 4 * SECOND);
     (1_000..3_990).for_each(|ms| broker.tick(ms * MS));
     assert!(waiter.verdicts.borrow().is_empty());
--- a/tests/broker/freshness.rs
+++ b/tests/broker/freshness.rs
@@ -1,4 +1,4 @@
-//! The freshness lease: age limits, checks at the first byte, and the budget of revalidations.
+//! Tests of the freshness lease: age limits, checks before the first byte, and the revalidation budget.
 
 use super::*;
 use sagearch_feed::lease::Lease;
@@ -13,30 +13,30 @@
     lease
 }
 
-fn limit(planned: &PlannedAttempt) -> Option<Micros> {
+fn max_age(planned: &PlannedAttempt) -> Option<Micros> {
     planned.fill.and_then(|fill| fill.max_age)
 }
 
 #[test]
-fn expired_lease_limits_the_age_of_copies_by_its_floor() {
+fn expired_lease_limits_the_age_of_copies_to_its_purge_floor() {
     let mut broker = broker();
     broker.renew_freshness(0, lease(None), 1_000);
-    let limit_at = |broker: &mut Broker<RecordingWaiter>, now, id| {
-        limit(&attempt(broker.pick(now, request(id, 0), Caller::anonymous(), RecordingWaiter::default())))
+    let max_age_at = |broker: &mut Broker<RecordingWaiter>, now, id| {
+        max_age(&attempt(broker.pick(now, request(id, 0), Caller::anonymous(), RecordingWaiter::default())))
     };
-    assert_eq!(limit_at(&mut broker, 0, 1), Some(1), "no event has been received yet");
+    assert_eq!(max_age_at(&mut broker, 0, 1), Some(1), "no event has been received yet");
     broker.renew_freshness(0, lease(Some(0)), 1_000);
-    assert_eq!(limit_at(&mut broker, LEASE_DURATION - 1, 2), None);
-    for late in [0, SECOND, 60 * SECOND] {
-        let now = LEASE_DURATION + late;
-        assert_eq!(limit_at(&mut broker, now, 10 + late), Some(LEASE_DURATION - MS));
+    assert_eq!(max_age_at(&mut broker, LEASE_DURATION - 1, 2), None);
+    for time_since_expiry in [0, SECOND, 60 * SECOND] {
+        let now = LEASE_DURATION + time_since_expiry;
+        assert_eq!(max_age_at(&mut broker, now, 10 + time_since_expiry), Some(LEASE_DURATION - MS));
         assert!(broker.freshness(now).unwrap().is_stale);
     }
-    // A purge that is younger than the floor limits more.
+    // A purge after the floor lowers the limit further.
     broker.purged(90 * SECOND, Some("a".into()), None, 0);
-    assert_eq!(limit_at(&mut broker, 91 * SECOND, 4), Some(SECOND - MS));
+    assert_eq!(max_age_at(&mut broker, 91 * SECOND, 4), Some(SECOND - MS));
     broker.renew_freshness(100 * SECOND, lease(Some(100 * SECOND)), 1_000);
-    assert_eq!(limit_at(&mut broker, 101 * SECOND, 5), None);
+    assert_eq!(max_age_at(&mut broker, 101 * SECOND, 5), None);
 }
 
 #[test]
@@ -46,21 +46,24 @@
     let pick = |broker: &mut Broker<RecordingWaiter>, now, id, class| {
         attempt(broker.pick(now, request(id, class), Caller::anonymous(), RecordingWaiter::default()))
     };
-    let before = pick(&mut broker, SECOND, 1, 0);
-    let origin = pick(&mut broker, SECOND, 2, 2);
-    assert!(broker.may_send(LEASE_DURATION - 1, &before));
-    assert!(!broker.may_send(LEASE_DURATION, &before));
-    assert!(broker.may_send(LEASE_DURATION, &origin), "what is not cached can't be purged");
-    let within = pick(&mut broker, LEASE_DURATION, 3, 0);
-    assert!(broker.may_send(LEASE_DURATION + SECOND, &within), "it carries the limit");
+    let picked_before = pick(&mut broker, SECOND, 1, 0);
+    let uncacheable = pick(&mut broker, SECOND, 2, 2);
+    assert!(broker.may_send(LEASE_DURATION - 1, &picked_before));
+    assert!(!broker.may_send(LEASE_DURATION, &picked_before));
+    assert!(broker.may_send(LEASE_DURATION, &uncacheable), "an uncacheable object cannot be purged");
+    let picked_after = pick(&mut broker, LEASE_DURATION, 3, 0);
+    assert!(
+        broker.may_send(LEASE_DURATION + SECOND, &picked_after),
+        "its age limit allows for the expired lease"
+    );
     assert_eq!(broker.freshness(LEASE_DURATION).unwrap().unsent, 1);
-    // Events received since are in force, and each is checked against it.
+    // Once the lease is renewed, the attempt is checked against each purge that was received meanwhile.
     broker.renew_freshness(LEASE_DURATION, lease(Some(LEASE_DURATION)), 1_000);
-    assert!(broker.may_send(LEASE_DURATION + 1, &before));
+    assert!(broker.may_send(LEASE_DURATION + 1, &picked_before));
 }
 
 #[test]
-fn revalidations_are_paid_at_a_rate_and_refunded_on_hits() {
+fn revalidations_are_limited_to_a_rate_and_refunded_on_hits() {
     let mut broker = broker();
     let refused = |verdict: &Option<Verdict>| matches!(verdict, Some(Verdict::Refused { backoff: Some(_) }));
     broker.renew_freshness(0, lease(None), 3);
@@ -81,10 +84,10 @@
 }
 
 #[test]
-fn broker_without_a_lease_limits_no_age() {
+fn broker_without_a_lease_does_not_limit_the_age_of_copies() {
     let mut broker = broker();
     let planned =
         attempt(broker.pick(60 * SECOND, request(1, 0), Caller::anonymous(), RecordingWaiter::default()));
-    assert_eq!((limit(&planned), broker.freshness(u64::MAX)), (None, None));
+    assert_eq!((max_age(&planned), broker.freshness(u64::MAX)), (None, None));
     assert!(broker.may_send(62 * SECOND, &planned));
 }
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -1,30 +1,30 @@
-//! Routing without failures, in simulated time: hashing, ranks, fill sources and the object table.
+//! Tests of routing in simulated time: hashing, cache ranks, fill sources and the object table.
 
 mod common;
 use common::*;
 use sagearch::interface::*;
 
 #[test]
-fn object_hash_names_the_same_cache_and_parent_at_every_router() {
-    let (mut one, mut two) = (Bench::new(), Bench::new());
-    two.router = {
-        let mut other = settings();
-        other.zone = 0;
-        let mut router = sagearch::Router::new(other, 99);
+fn object_hash_selects_the_same_cache_and_parent_at_every_router() {
+    let (mut first, mut second) = (Bench::new(), Bench::new());
+    second.router = {
+        let mut settings_of_second = settings();
+        settings_of_second.zone = 0;
+        let mut router = sagearch::Router::new(settings_of_second, 99);
         let mut members = fleet();
         members.reverse();
-        router.handle(two.now, Event::Members { kind: ListKind::Complete, members }, &mut Vec::new());
+        router.handle(second.now, Event::Members { kind: ListKind::Complete, members }, &mut Vec::new());
         router
     };
-    let mut caches = [0; 3];
+    let mut counts_by_cache = [0; 3];
     for id in 0..300 {
         let object = format!("o{id}");
-        let (a, b) = (one.serve(id, &object).unwrap(), two.serve(id, &object).unwrap());
-        assert_eq!((a.member, a.source()), (b.member, b.source()));
-        assert_eq!(one.serve(1000 + id, &object).unwrap().member, a.member);
-        caches[a.member as usize - 1] += 1;
+        let (by_first, by_second) = (first.serve(id, &object).unwrap(), second.serve(id, &object).unwrap());
+        assert_eq!((by_first.member, by_first.source()), (by_second.member, by_second.source()));
+        assert_eq!(first.serve(1000 + id, &object).unwrap().member, by_first.member);
+        counts_by_cache[by_first.member as usize - 1] += 1;
     }
-    assert!(caches.iter().all(|count| *count > 60), "{caches:?}");
+    assert!(counts_by_cache.iter().all(|count| *count > 60), "{counts_by_cache:?}");
 }
 
 #[test]
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn failed_cache_is_followed_by_the_next_in_order() {
+fn failed_attempts_are_retried_at_other_members() {
     let mut bench = Bench::new();
     let first = sent(&bench.ask(1, "a")).unwrap();
     let second = sent(&bench.ended(1, 0, Outcome::Unreachable, Detail::Unspecified)).unwrap();
@@ -57,30 +57,30 @@
 }
 
 #[test]
-fn uncacheable_request_reaches_the_origin_unchanged() {
+fn uncacheable_request_reaches_the_origin_directly_or_through_a_cache() {
     let mut bench = Bench::new();
-    let straight = sent(&bench.asked(1, 1, "a", 1.0)).unwrap();
-    assert_eq!((straight.member, straight.fill), (20, None));
+    let direct = sent(&bench.asked(1, 1, "a", 1.0)).unwrap();
+    assert_eq!((direct.member, direct.fill), (20, None));
     let mut settings = settings();
     settings.direct_requests = false;
     let mut bench = Bench::with(settings, fleet());
-    let through = sent(&bench.asked(1, 1, "a", 1.0)).unwrap();
-    assert!(through.member <= 3);
-    assert_eq!((through.source(), through.fill.unwrap().cache_rank), (20, 0));
+    let by_cache = sent(&bench.asked(1, 1, "a", 1.0)).unwrap();
+    assert!(by_cache.member <= 3);
+    assert_eq!((by_cache.source(), by_cache.fill.unwrap().cache_rank), (20, 0));
 }
 
 #[test]
 fn equal_events_give_equal_actions() {
     let run = || {
         let mut bench = Bench::new();
-        let mut all = Vec::new();
+        let mut actions = Vec::new();
         for id in 0..200 {
-            all.extend(bench.after(MS).asked(id, (id % 4) as usize, &format!("o{}", id % 17), 60.0));
+            actions.extend(bench.after(MS).asked(id, (id % 4) as usize, &format!("o{}", id % 17), 60.0));
             if id % 3 == 0 {
-                all.extend(bench.ended(id, 0, Outcome::Rejected, Detail::Unspecified));
+                actions.extend(bench.ended(id, 0, Outcome::Rejected, Detail::Unspecified));
             }
         }
-        all
+        actions
     };
     assert_eq!(run(), run());
 }
