--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -61,7 +61,7 @@
     },
     /// The freshness lease was renewed. Until the first such event, the lack of a lease causes no revalidations.
     Freshness {
-        /// The freshness lease, which bounds how long purges can have been missed.
+        /// The lease, during which the knowledge of purges counts as complete.
         lease: Lease,
         /// Number of revalidations per second allowed while the lease is expired.
         revalidations_per_second: u32,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -83,7 +83,7 @@
 pub struct SlowStartRule {
     /// Minimum share of its capacity that a member has when it starts.
     pub floor: f64,
-    /// Duration of the warm-up, after which a member has its full capacity.
+    /// Longest duration of the warm-up, after which a member has its full capacity.
     pub warm_up: Micros,
     /// Multiple of its current capacity that a member can be sent without failing.
     pub multiple: f64,
