--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,5 +1,5 @@
-//! The endpoint table: members that discovery lists, members that operators took out of service, and which of
-//! them may be sent new requests.
+//! Endpoint table: the members listed by discovery, the members taken out of service by operators, and the
+//! members that may be sent new requests.
 
 use super::Router;
 use crate::hash;
@@ -7,29 +7,29 @@
 use crate::state::MemberRecord;
 use std::collections::BTreeSet;
 
-/// Transfers that a member of unknown size is first taken to carry at full pace.
+/// Assumed number of transfers at full pace for a member whose capacity is not stated.
 const DEFAULT_CAPACITY: f64 = 4.0;
-/// A member's health and slow-start budget are kept for this long after it is gone.
+/// How long the record of a member, with its health and slow-start budget, is kept after the member is gone.
 const GONE_MEMBER_RETENTION: Micros = 60_000_000;
 
 impl Router {
-    /// Takes in the complete list of members, or changes to it.
+    /// Applies a complete list of members, or changes to the list.
     pub(super) fn update_members(&mut self, kind: ListKind, members: Vec<Member>) {
         if kind == ListKind::Complete {
             self.members.values_mut().for_each(|record| record.member.state = MemberState::Gone);
         }
         let (now, first_list_at) = (self.now, *self.first_list_at.get_or_insert(self.now));
         for member in members {
-            let stated = self.settings.weights_are_capacities && member.weight > 0.0;
-            let capacity = if stated { member.weight } else { DEFAULT_CAPACITY };
+            let capacity_is_stated = self.settings.weights_are_capacities && member.weight > 0.0;
+            let capacity = if capacity_is_stated { member.weight } else { DEFAULT_CAPACITY };
             match self.members.get_mut(&member.id) {
                 Some(record) if member.started <= record.member.started => {
                     record.member = Member { started: record.member.started, ..member };
                 }
-                // A new process on the same machine: what was learned of the old one does not hold any more.
-                Some(old) => {
-                    let in_flight = old.in_flight;
-                    *old = MemberRecord {
+                // The member has restarted: what was learned of its previous process no longer applies.
+                Some(record) => {
+                    let in_flight = record.in_flight;
+                    *record = MemberRecord {
                         member,
                         capacity,
                         in_flight,
@@ -38,12 +38,13 @@
                         ..MemberRecord::default()
                     };
                 }
-                // What this gateway sent before its own restart still counts: since the member's start, for
-                // the window of the rule, also where the first list did not contain the member yet.
+                // Requests that the previous process of this gateway sent still count against the budget:
+                // those sent since the member started, for at most the window of the rule, even if the first
+                // list did not yet contain the member.
                 None => {
-                    let before = first_list_at.saturating_sub(member.started.unwrap_or(0));
-                    let slow_start_due =
-                        now.max(first_list_at + before.min(self.slow_start_rule(member.role).window));
+                    let age_at_first_list = first_list_at.saturating_sub(member.started.unwrap_or(0));
+                    let slow_start_due = now
+                        .max(first_list_at + age_at_first_list.min(self.slow_start_rule(member.role).window));
                     self.members.insert(
                         member.id,
                         MemberRecord {
@@ -61,65 +62,72 @@
         self.refresh_usable();
     }
 
-    /// Drops members that are long gone and that no open request refers to: new ids keep coming.
+    /// Removes members that have been gone for longer than the retention and that no open request refers to.
+    /// Without this the table would grow, because new members get new ids.
     fn drop_long_gone(&mut self) {
         let attempts = self.requests.values().flat_map(|state| &state.attempts);
         let referenced: BTreeSet<MemberId> =
-            attempts.flat_map(|it| [Some(it.member), it.source]).flatten().collect();
+            attempts.flat_map(|attempt| [Some(attempt.member), attempt.source]).flatten().collect();
         self.members.retain(|id, record| {
             record.gone_since =
                 (record.member.state == MemberState::Gone).then(|| record.gone_since.unwrap_or(self.now));
-            record.gone_since.is_none_or(|at| self.now < at + GONE_MEMBER_RETENTION)
+            record.gone_since.is_none_or(|gone_since| self.now < gone_since + GONE_MEMBER_RETENTION)
                 || referenced.contains(id)
         });
     }
 
-    /// Members that operators took out of service count as draining, whatever the list says.
+    /// Rebuilds the lists of usable members. A member that operators took out of service counts as draining,
+    /// whatever state is listed for it.
     pub(super) fn refresh_usable(&mut self) {
-        self.usable.iter_mut().for_each(Vec::clear);
-        let in_own_zone =
+        self.usable_members.iter_mut().for_each(Vec::clear);
+        let is_in_local_zone =
             |member: &&Member| member.role != Role::Cache || member.zone == Some(self.settings.zone);
-        let serving = |member: &&Member| {
+        let is_serving = |member: &&Member| {
             member.state == MemberState::Serving && !self.out_of_service.contains_key(&member.id)
         };
-        for member in self.members.values().map(|record| &record.member).filter(in_own_zone).filter(serving) {
-            self.usable[member.role as usize].push(member.id);
+        for member in
+            self.members.values().map(|record| &record.member).filter(is_in_local_zone).filter(is_serving)
+        {
+            self.usable_members[member.role as usize].push(member.id);
         }
     }
 
-    /// Slow start begins anew for a member that is back in service: it may have restarted unnoticed.
-    pub(super) fn return_to_service(&mut self, id: MemberId, at: Micros) {
+    /// Returns a member to service and restarts its slow start, since it may have restarted without notice.
+    pub(super) fn return_to_service(&mut self, id: MemberId, returned_at: Micros) {
         let member = self.members.get(&id).map(|record| record.member.clone());
-        let (Some(since), Some(member)) = (self.out_of_service.remove(&id), member) else { return };
-        let started = member.started.filter(|started| *started > since);
-        self.update_members(ListKind::Changes, vec![Member { started: started.or(Some(at)), ..member }]);
+        let (Some(removed_at), Some(member)) = (self.out_of_service.remove(&id), member) else { return };
+        let started = member.started.filter(|started| *started > removed_at);
+        self.update_members(
+            ListKind::Changes,
+            vec![Member { started: started.or(Some(returned_at)), ..member }],
+        );
     }
 
-    /// Whether an operator has taken this member out of service.
+    /// Whether an operator has taken the member out of service.
     pub fn is_out_of_service(&self, id: MemberId) -> bool {
         self.out_of_service.contains_key(&id)
     }
 
-    /// Members of a role that may be sent new requests, in the order of their rendezvous hash. Draining and
-    /// gone members are left out at once, as target and as source, well inside the grace period. During slow
-    /// start a member is weighted by its present capacity: it gets a growing part of its objects, the same at
-    /// all gateways.
+    /// Returns the members of a role that may be sent new requests, by descending rendezvous score. Draining
+    /// and gone members are excluded at once, as target and as source, well within the grace period. During
+    /// slow start a member is weighted by its current capacity, so that it receives a growing share of its
+    /// objects, the same at all gateways.
     pub(super) fn rendezvous_order(&self, role: Role, key: u64) -> Vec<MemberId> {
         let score = |id: &MemberId| {
             let record = &self.members[id];
             (hash::rendezvous(key, id.0, record.member.weight * self.capacity_share(record)), *id)
         };
-        let mut scored: Vec<(f64, MemberId)> = self.usable[role as usize].iter().map(score).collect();
+        let mut scored: Vec<(f64, MemberId)> = self.usable_members[role as usize].iter().map(score).collect();
         scored.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
         scored.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// The role of a listed member.
+    /// Returns the role of a listed member.
     pub(super) fn role(&self, id: MemberId) -> Role {
         self.members[&id].member.role
     }
 
-    /// Gateways that send to members of this role.
+    /// Returns the number of gateways that send requests to members of this role.
     pub(super) fn gateway_count(&self, role: Role) -> f64 {
         let zone = self.settings.zones.get(self.settings.zone).filter(|_| role == Role::Cache);
         f64::from(zone.map_or(self.settings.routers, |zone| zone.routers).max(1))
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,9 +1,10 @@
-//! The decisions of a gateway, one module for each, with its constants. Events and actions are types of
-//! `src/interface.rs`. Nothing here does I/O, reads a clock or starts threads.
+//! Routing policy of a gateway. Each module holds one decision and its constants. Events and actions are
+//! defined in `src/interface.rs`. The policy performs no I/O, reads no clock and starts no threads.
 //!
-//! The ordinary path: `lifecycle` takes a request in, `popularity` counts its object, `routing` picks
-//! the first cache in rendezvous order, `fill_source` the first parent, and the cache keeps the copy at a
-//! rank set by the count. Everything else is an exception whose comment names the fault that it covers.
+//! In the common case, `lifecycle` accepts a request, `popularity` counts its object, `routing` picks the
+//! first cache in rendezvous order, `fill_source` picks the first parent, and the cache stores the copy at a
+//! rank derived from the count. All other code handles exceptions; its comments name the fault that it
+//! covers.
 
 mod admission;
 mod attempt_timeout;
@@ -31,70 +32,72 @@
 use retry_budget::MAX_RETRY_BUDGET;
 use std::collections::BTreeMap;
 
-/// Ticks between a decision and the last moment for its answer or effect.
+/// Time reserved between a decision and the deadline for its answer or effect, in ticks.
 const DEADLINE_MARGIN_TICKS: Micros = 2;
 
-/// The decisions of one gateway.
+/// The routing policy of one gateway: handles events and returns actions.
 #[derive(Default)]
 pub struct Router {
     pub(crate) settings: Settings,
     /// The time of the latest event.
     now: Micros,
-    random: u64,
-    /// Processes that are this gateway now: during an upgrade two share its slow-start budgets.
+    /// State of the pseudorandom number generator.
+    random_state: u64,
+    /// Number of processes that run as this gateway. During an upgrade two share its slow-start budgets.
     pub(crate) processes: f64,
     members: BTreeMap<MemberId, MemberRecord>,
-    /// When the first list came. The process before this one may have sent requests until then.
+    /// When the first member list was received. The previous process may have sent requests until then.
     first_list_at: Option<Micros>,
-    /// Members that operators took out of service, and since when.
+    /// Members that operators took out of service, with the time at which they did.
     out_of_service: BTreeMap<MemberId, Micros>,
-    /// Members that may be sent requests: the caches of the own zone, all parents, all origins.
-    usable: [Vec<MemberId>; 3],
+    /// Members that may be sent requests: caches of the local zone, all parents and all origins, indexed by
+    /// role.
+    usable_members: [Vec<MemberId>; 3],
     pub(crate) learned: Learned,
-    /// When each ratio of fill waits was last updated.
+    /// When each entry of `Learned::fill_wait_ratios` was last updated.
     fill_wait_updated_at: [Micros; 2],
-    /// When request counts are halved next.
+    /// When request counts are next halved.
     next_halving: Option<Micros>,
     requests: BTreeMap<RequestId, RequestState>,
-    /// When objects and groups were last purged.
+    /// Times of the latest purges of objects and purge groups.
     purges: Purges,
     pub(crate) freshness: Freshness,
-    /// Retries that are saved up.
+    /// Retries accumulated in the budget that all requests share.
     retry_budget: f64,
-    /// The same for requests that run at the origin.
+    /// Retries accumulated in the additional budget of requests that run at the origin.
     origin_retry_budget: f64,
     pub(crate) shared_retry_budget: SharedRetryBudget,
-    /// Priorities of recent requests.
+    /// Priorities of recent requests, against which a new one is ranked.
     recent_priorities: Recent,
 }
 
-/// Where a decision appends its actions.
+/// The list to which a decision appends its actions.
 type Actions<'a> = &'a mut Vec<Action>;
 
 impl Router {
-    /// A router that has learned nothing yet.
+    /// Creates a router with the initial learned state.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let learned = Learned { miss_rates: [1.0, 0.5, 0.25, 0.1], fill_delay: 0.15, ..Learned::default() };
         let retry_budget = MAX_RETRY_BUDGET / 2.0;
-        let mut router = Router { random: seed, retry_budget, processes: 1.0, ..Router::default() };
+        let mut router = Router { random_state: seed, retry_budget, processes: 1.0, ..Router::default() };
         router.resume(learned, settings);
         router.origin_retry_budget = 1.0 + router.random_unit();
         router
     }
 
-    /// Resumes with what another process has learned, or under new settings. Classes keep their indices.
+    /// Continues with the learned state of another process, or with new settings. Classes keep their indices.
     pub fn resume(&mut self, learned: Learned, settings: Settings) {
         (self.learned, self.settings) = (learned, settings);
         self.learned.sending_times.resize(self.settings.classes.len(), SendingTime::default());
         self.refresh_usable();
     }
 
-    /// Members of which a record is kept.
+    /// Returns the number of members of which a record is kept.
     pub fn members(&self) -> usize {
         self.members.len()
     }
 
-    /// Takes in one event and appends the actions that follow.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.age_popularity();
@@ -112,10 +115,11 @@
             Event::Streaming { .. } => return,
             Event::Request(request) => self.start_request(request, actions),
             Event::Outcome { request, attempt, outcome, detail, elapsed, finished, load, .. } => {
-                let end = |it: &mut Attempt| {
-                    (it.outcome, it.detail, it.duration) = (Some(outcome), detail, seconds(elapsed));
+                let record_end = |attempt: &mut Attempt| {
+                    (attempt.outcome, attempt.detail, attempt.duration) =
+                        (Some(outcome), detail, seconds(elapsed));
                 };
-                let ended = self.end_attempt(request, attempt, end);
+                let ended = self.end_attempt(request, attempt, record_end);
                 if let Some(attempt) = &ended {
                     self.learn_load(attempt.member, load);
                     self.learn_from_attempt(request, attempt);
@@ -144,17 +148,17 @@
                 return self.return_to_service(member, started);
             }
         };
-        let done = |state: &RequestState| {
+        let is_complete = |state: &RequestState| {
             state.finished && state.attempts.iter().all(|attempt| attempt.outcome.is_some())
         };
-        if self.requests.get(&id).is_some_and(done) {
+        if self.requests.get(&id).is_some_and(is_complete) {
             self.requests.remove(&id);
         }
     }
 
-    /// A random number between 0 and 1.
+    /// Returns a pseudorandom number between 0 and 1, both excluded.
     fn random_unit(&mut self) -> f64 {
-        self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        hash::unit_interval(mix(self.random))
+        self.random_state = self.random_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        hash::unit_interval(mix(self.random_state))
     }
 }
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -1,40 +1,46 @@
-//! Whether a request may be retried: its idempotency, its deadline, and the budget of retries.
+//! Conditions for retries: the idempotency of the request, its deadline, and the retry budget.
 
 use super::{DEADLINE_MARGIN_TICKS, Router};
 use crate::interface::{Idempotency, MemberId};
 use crate::state::RequestState;
 
-/// Broken attempts after which a request is not retried.
+/// Number of broken attempts after which a request is no longer retried.
 pub(super) const MAX_BROKEN_ATTEMPTS: usize = 3;
-/// Seconds within which a broken attempt has cost hardly any work.
-pub(super) const IMMEDIATE_FAILURE: f64 = 0.05;
-/// Retries that each request adds to the budget, and how many can be saved up.
+/// Maximum duration of a broken attempt that has cost the member hardly any work.
+pub(super) const IMMEDIATE_FAILURE_SECONDS: f64 = 0.05;
+/// Retries that each request adds to the budget.
 pub(super) const RETRIES_PER_REQUEST: f64 = 0.3;
+/// Maximum number of retries that can accumulate in the budget.
 pub(super) const MAX_RETRY_BUDGET: f64 = 30.0;
 
 impl Router {
-    /// Whether another attempt is safe and in time: nothing may run twice that must not.
+    /// Whether another attempt is safe and can end before the deadline. A request that is not idempotent must
+    /// not run twice.
     pub(super) fn may_retry(&self, state: &RequestState) -> bool {
-        let spare = self.settings.tick * DEADLINE_MARGIN_TICKS;
-        let most = self.settings.classes[state.class].max_attempts as usize;
-        if state.attempts.len() >= most || self.now + spare >= state.deadline {
+        let deadline_margin = self.settings.tick * DEADLINE_MARGIN_TICKS;
+        let max_attempts = self.settings.classes[state.class].max_attempts as usize;
+        if state.attempts.len() >= max_attempts || self.now + deadline_margin >= state.deadline {
             return false;
         }
         let first_run = state.attempts.iter().find(|attempt| attempt.may_have_run());
         match (self.settings.classes[state.class].idempotency, first_run) {
             (Idempotency::Idempotent, _) | (_, None) => true,
-            (Idempotency::Keyed { window, .. }, Some(first)) => self.now + spare < first.sent_at + window,
+            (Idempotency::Keyed { window, .. }, Some(first)) => {
+                self.now + deadline_margin < first.sent_at + window
+            }
             (Idempotency::NotIdempotent, Some(_)) => false,
         }
     }
 
-    /// Whether the member drops repeats of what may have run elsewhere.
+    /// Whether the member deduplicates the request against every member at which it may have run.
     pub(super) fn in_idempotency_group(&self, state: &RequestState, member: MemberId) -> bool {
         let Idempotency::Keyed { group, .. } = self.settings.classes[state.class].idempotency else {
             return true;
         };
-        let ran = state.attempts.iter().filter(|attempt| attempt.may_have_run());
-        let new = &self.members[&member].member;
-        ran.map(|attempt| &self.members[&attempt.member].member).all(|old| group.contains_both(old, new))
+        let may_have_run = state.attempts.iter().filter(|attempt| attempt.may_have_run());
+        let candidate = &self.members[&member].member;
+        may_have_run
+            .map(|attempt| &self.members[&attempt.member].member)
+            .all(|earlier| group.contains_both(earlier, candidate))
     }
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,39 +1,42 @@
-//! Slow start: how much a newly started member may be sent.
+//! Slow start: limits on the work that a newly started member may be sent.
 
 use super::Router;
-use super::learning::HIT_OVERHEAD;
+use super::learning::HIT_OVERHEAD_SECONDS;
 use crate::hash::{self, mix};
 use crate::interface::{MemberId, Micros, Role, SlowStartRule, seconds};
 use crate::state::{Attempt, MemberRecord, RequestState, SendingTime};
 
-/// Part of the allowed work that is used, and part of that which may come in one burst.
-const SLOW_START_HEADROOM: f64 = 0.5;
-const SLOW_START_BURST: f64 = 0.25;
-/// Part of the rule's window within which the charge of an unused fill is refunded: later, the next call in
-/// its place may have been sent already.
-const REFUND_WINDOW: f64 = 0.5;
-/// The mean of few requests may lie far below that of their class: it is raised by this over their number
-/// squared.
+/// Share of the work allowed by the slow-start rule that is used.
+const SLOW_START_HEADROOM_SHARE: f64 = 0.5;
+/// Share of the requests of a window that may be sent in one burst.
+const SLOW_START_BURST_SHARE: f64 = 0.25;
+/// Share of the rule's window within which the charge for an unused fill is refunded. After that, another
+/// request may already have been sent in its place.
+const REFUND_WINDOW_SHARE: f64 = 0.5;
+/// The mean of a small sample may be far below that of its class. It is increased by this ratio divided by
+/// the squared number of requests.
 const SMALL_SAMPLE_MARGIN: f64 = 2.0;
-/// Calls that a lookup brings to its member: the health check, and the work that follows.
-const CALLS_PER_LOOKUP: f64 = 2.0;
+/// Requests that a lookup brings to its member: the health check, and the request that follows.
+const REQUESTS_PER_LOOKUP: f64 = 2.0;
 
 impl Router {
-    /// The slow-start rule for members of this role.
+    /// Returns the slow-start rule for members of this role.
     pub(super) fn slow_start_rule(&self, role: Role) -> SlowStartRule {
         if role == Role::Cache { self.settings.cache_slow_start } else { self.settings.parent_slow_start }
     }
 
-    /// Least share of its capacity that a member has now, by the rule.
+    /// Returns the minimum share of its capacity that a member has now, according to its slow-start rule.
     pub(super) fn capacity_share(&self, record: &MemberRecord) -> f64 {
         let started = record.member.started.filter(|_| record.member.role != Role::Origin);
-        started.map_or(1.0, |at| self.slow_start_rule(record.member.role).share(self.now.saturating_sub(at)))
+        started.map_or(1.0, |started| {
+            self.slow_start_rule(record.member.role).share(self.now.saturating_sub(started))
+        })
     }
 
-    /// Charges a call of `work` seconds of sending to a member in slow start; `false`: it may not be sent. A
-    /// gateway has a share of what the rule allows in its window. Where that is far under one call, it draws
-    /// a random number once a window. Fractions are not saved up: they would fall due at many gateways at one
-    /// moment.
+    /// Charges a request of `work` seconds of sending time to a member in slow start. Returns `false` if the
+    /// request may not be sent. Each gateway has a share of what the rule allows per window. If that share is
+    /// less than one request, the gateway draws a random number once per window. Fractions do not accumulate,
+    /// because they would become due at many gateways at the same time.
     pub(super) fn charge_slow_start(&mut self, id: MemberId, work: f64) -> bool {
         let record = &self.members[&id];
         let available = self.capacity_share(record);
@@ -42,51 +45,53 @@
             return true;
         }
         let share = record.capacity * available / (self.gateway_count(record.member.role) * self.processes);
-        let calls =
-            share * rule.multiple * seconds(rule.window) * SLOW_START_HEADROOM / work.max(HIT_OVERHEAD);
-        let draws = calls.floor().max(1.0);
-        let every = (rule.window as f64 / draws) as Micros;
-        let draw = hash::unit_interval(mix(self.random ^ mix(u64::from(id.0) ^ self.now)));
+        let allowed_requests = share * rule.multiple * seconds(rule.window) * SLOW_START_HEADROOM_SHARE
+            / work.max(HIT_OVERHEAD_SECONDS);
+        let slots = allowed_requests.floor().max(1.0);
+        let interval = (rule.window as f64 / slots) as Micros;
+        let draw = hash::unit_interval(mix(self.random_state ^ mix(u64::from(id.0) ^ self.now)));
         let (now, Some(record)) = (self.now, self.members.get_mut(&id)) else { return false };
-        if record.slow_start_due > now + every * (draws * SLOW_START_BURST) as Micros {
+        if record.slow_start_due > now + interval * (slots * SLOW_START_BURST_SHARE) as Micros {
             return false;
         }
-        record.slow_start_due = record.slow_start_due.max(now) + every;
-        record.last_charge = every;
-        draw * draws < calls
+        record.slow_start_due = record.slow_start_due.max(now) + interval;
+        record.last_charge = interval;
+        draw * slots < allowed_requests
     }
 
-    /// Refunds the charge of a fill whose source was not used after all. No more than that charge: other
-    /// fills may well have reached the source.
+    /// Refunds the charge of a fill whose source was not used. Refunds no more than that charge, since other
+    /// fills may have reached the source.
     pub(super) fn refund_slow_start(&mut self, source: MemberId, attempt: &Attempt) {
         let now = self.now;
         let Some(role) = self.members.get(&source).map(|record| record.member.role) else { return };
-        let latest = attempt.sent_at + (self.slow_start_rule(role).window as f64 * REFUND_WINDOW) as Micros;
+        let refund_deadline =
+            attempt.sent_at + (self.slow_start_rule(role).window as f64 * REFUND_WINDOW_SHARE) as Micros;
         let Some(record) = self.members.get_mut(&source) else { return };
-        if now <= latest && attempt.sent_at >= record.start_notified {
+        if now <= refund_deadline && attempt.sent_at >= record.start_notified {
             record.slow_start_due = record.slow_start_due.saturating_sub(attempt.slow_start_charge).max(now);
         }
     }
 
-    /// Seconds of sending that a request is charged as: the mean of its class, as the rule has it.
+    /// Returns the sending time that a request is charged, in seconds. The rule is defined on the mean of the
+    /// class.
     pub(super) fn slow_start_work(&self, state: &RequestState) -> f64 {
         let SendingTime { mean, requests } = self.learned.sending_times[state.class];
         let objective = self.settings.classes[state.class].latency_objective;
-        // Without any stated size a request must not count as nothing: most are served within their
-        // objective.
-        let known = if mean > 0.0 {
+        // Without any known size a request must not be free of charge. Its latency objective is used, since
+        // most requests are served within it.
+        let work = if mean > 0.0 {
             mean * (1.0 + SMALL_SAMPLE_MARGIN / requests.max(1.0).powi(2))
         } else {
             seconds(objective)
         };
-        known * if state.request.is_lookup { CALLS_PER_LOOKUP } else { 1.0 }
+        work * if state.request.is_lookup { REQUESTS_PER_LOOKUP } else { 1.0 }
     }
 
-    /// Whether an attempt that was picked then was charged to the slow start of its member: not where the
-    /// member's start was notified since.
-    pub fn start_was_known(&self, id: MemberId, picked: Micros) -> bool {
+    /// Whether an attempt that was picked at `picked_at` was charged to the slow start of its member. Returns
+    /// `false` if the member is in slow start and its start was reported after that.
+    pub fn start_was_known(&self, id: MemberId, picked_at: Micros) -> bool {
         self.members
             .get(&id)
-            .is_none_or(|record| picked >= record.start_notified || self.capacity_share(record) >= 1.0)
+            .is_none_or(|record| picked_at >= record.start_notified || self.capacity_share(record) >= 1.0)
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,19 +1,21 @@
-//! What the router has learned, and its records of members and of open requests. Decides nothing.
+//! State of the router: the learned state, and the records of members and open requests. Contains no
+//! decisions.
 //!
-//! Stored names of learned values differ from the fields' where a process of an earlier version reads them.
+//! Serialized names of learned values differ from the field names where processes of earlier versions read
+//! them.
 
 use crate::average::{Average, Pace};
 use crate::counts::Counts;
 use crate::interface::{Detail, Member, MemberId, Micros, Outcome, Request};
 use serde::{Deserialize, Serialize};
 
-/// The mean sending time of the requests of a class. Stored as a pair.
+/// Mean sending time of the requests of a class. Serialized as a pair.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, f64)", into = "(f64, f64)")]
 pub struct SendingTime {
-    /// The mean, in seconds.
+    /// Mean sending time, in seconds.
     pub mean: f64,
-    /// How many requests it is the mean of.
+    /// Number of requests in the mean.
     pub requests: f64,
 }
 
@@ -29,194 +31,194 @@
     }
 }
 
-/// What a router has learned of objects, classes and sources. A process that takes over resumes with it.
+/// Values that a router learns from its traffic. During an upgrade the next process continues with them.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub struct Learned {
-    /// How often each object was requested recently.
+    /// Recent number of requests of each object.
     #[serde(rename = "counts")]
     pub(crate) popularity: Counts,
-    /// The mean sending time of each class.
+    /// Mean sending time of each class.
     #[serde(rename = "mean_work")]
     pub(crate) sending_times: Vec<SendingTime>,
-    /// Share of requests of each rank that found no copy, and of uncacheable ones (0).
+    /// Share of requests that missed, by cache rank; rank 0 stands for uncacheable requests.
     #[serde(rename = "misses")]
     pub(crate) miss_rates: [f64; 4],
-    /// The usual load of caches, parents and origins, by their load reports.
+    /// Usual load of caches, parents and origins, according to their load reports.
     pub(crate) usual_load: [f64; 3],
-    /// Pace of hits at caches, which shows how full the links are.
+    /// Pace of hits at caches, which shows congested links.
     #[serde(rename = "hits")]
     pub(crate) hit_pace: Pace,
-    /// Pace of all answers: it is slower by the time that they waited.
+    /// Pace of all answers, including the time that they waited for fills.
     #[serde(rename = "served")]
     pub(crate) served_pace: Pace,
-    /// Seconds that a fill takes longer than its sending.
+    /// Time that a fill takes in addition to its sending time, in seconds.
     #[serde(rename = "fill_extra")]
     pub(crate) fill_delay: f64,
-    /// Wait of fills over the slack of their requests: of all, and of those that a source had cached.
+    /// Ratio of fill wait to request slack: of all fills, and of fills that a source had cached.
     #[serde(rename = "fill_wait")]
     pub(crate) fill_wait_ratios: [f64; 2],
-    /// Caches report which fills came from the origin.
+    /// Whether caches report which fills came from the origin.
     #[serde(rename = "tells_origin")]
     pub(crate) reports_origin_fills: bool,
-    /// Share of requests whose first answer did not come in time or at all.
+    /// Share of requests whose first answer was late or lost.
     #[serde(rename = "lost")]
     pub(crate) lost_answers: f64,
 }
 
-/// What passive health checking knows of a member.
+/// Result of the passive health checks of a member.
 #[derive(Clone, Copy, Default)]
 pub struct Health {
     /// Share of failures among the latest answers.
     pub failure_rate: f64,
-    /// Ejections in a row; each one is longer than the one before.
+    /// Number of ejections in a row; each one lasts longer than the previous one.
     pub ejections: u32,
-    /// When the ejection ends; from then on one request at a time probes the member.
+    /// When the ejection ends. After that, one request at a time probes the member.
     pub ejected_until: Option<Micros>,
-    /// The request that probes the member after an ejection has not ended yet.
+    /// Whether a request that probes the member after an ejection is in flight.
     pub probe_in_flight: bool,
 }
 
-/// The load that a member had in a report, without the attempts of this gateway.
+/// Load of a member according to its last report, without the attempts of this gateway.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportedLoad {
     /// When the report was received.
-    pub at: Micros,
-    /// Requests of other gateways in flight.
+    pub received_at: Micros,
+    /// Number of requests of other gateways in flight.
     pub others_in_flight: f64,
 }
 
-/// How long the fills of a member waited recently.
+/// Recent wait of fills from a member.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FillWait {
-    /// When it was last measured.
+    /// When the wait was last measured.
     pub measured_at: Micros,
-    /// The average wait.
+    /// Average wait, in seconds.
     pub seconds: f64,
 }
 
-/// The record of a listed member.
+/// Record of a listed member.
 #[derive(Default)]
 pub struct MemberRecord {
-    /// The member as it is listed.
+    /// The member as listed by discovery.
     pub member: Member,
-    /// Attempts of this gateway that are in flight there.
+    /// Number of attempts of this gateway in flight at the member.
     pub in_flight: u32,
-    /// The average of `in_flight`, in which recent values count more.
+    /// Average of `in_flight`, weighted towards recent values.
     pub average_in_flight: Average,
-    /// Its load by its last load report.
+    /// Load according to the last load report.
     pub reported_load: Option<ReportedLoad>,
-    /// Transfers that it carries at full pace.
+    /// Number of concurrent transfers that the member carries at full pace.
     pub capacity: f64,
-    /// How long its fills waited recently.
+    /// Recent wait of fills from the member.
     pub fill_wait: FillWait,
-    /// Since when it is gone from the list.
+    /// Since when the member is missing from the list or listed as gone.
     pub gone_since: Option<Micros>,
-    /// When it last gave a good answer.
+    /// When the member last gave a good answer.
     pub last_success: Option<Micros>,
-    /// When it was last penalized for a broken attempt.
+    /// When the member was last penalized for a broken attempt.
     pub last_break: Option<Micros>,
-    /// Its passive health.
+    /// Result of the passive health checks.
     pub health: Health,
-    /// When its start was notified to this gateway, or it was first listed.
+    /// When the start of the member was reported to this gateway, or the member was first listed.
     pub start_notified: Micros,
-    /// During slow start: when its next request is due at an even pace; bursts run ahead of this.
+    /// During slow start, when the next request is due at an even pace. Bursts may run ahead of this time.
     pub slow_start_due: Micros,
-    /// By how much the last request postponed that.
+    /// Time by which the last request postponed `slow_start_due`.
     pub last_charge: Micros,
 }
 
 /// One attempt of a request.
 #[derive(Clone, Default)]
 pub struct Attempt {
-    /// Who was sent the attempt.
+    /// The member to which the attempt was sent.
     pub member: MemberId,
-    /// Who was named as source of a fill.
+    /// The member named as source of a fill.
     pub source: Option<MemberId>,
-    /// What was charged to the source's slow-start budget, to be refunded if the source was not used after all.
+    /// Charge to the slow-start budget of the source, refunded if the source is not used.
     pub slow_start_charge: Micros,
-    /// No fetch was requested: a miss says that neither member nor source has it cached.
+    /// Whether no fetch was requested. A miss then shows that neither the member nor the source has a copy.
     pub lookup_only: bool,
-    /// The source is another cache of the location, which gives only what it has cached.
+    /// Whether the source is another cache of the location, which answers only from its cache.
     pub from_sibling: bool,
-    /// It was paid from the budget of revalidations.
+    /// Whether the attempt was charged to the revalidation budget.
     pub revalidates: bool,
-    /// How likely it is that the member has no copy.
+    /// Probability that the member has no copy.
     pub miss_probability: f64,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: Micros,
     /// When a hedged request may follow.
     pub hedge_at: Option<Micros>,
-    /// How it ended; `None`: it is in flight.
+    /// How the attempt ended; `None` while it is in flight.
     pub outcome: Option<Outcome>,
-    /// How its answer came about.
+    /// Details of the answer, such as a hit or a fill.
     pub detail: Detail,
-    /// Seconds that it took.
+    /// Duration of the attempt, in seconds.
     pub duration: f64,
 }
 
 impl Attempt {
-    /// Whether it may have run. One that is in flight may have.
+    /// Whether the attempt may have run. An attempt in flight may have.
     pub fn may_have_run(&self) -> bool {
         self.outcome.is_none_or(Outcome::may_have_run)
     }
 
-    /// An error, or a connection that broke with the attempt in flight.
+    /// Whether the attempt ended with an error, or its connection broke while it was in flight.
     pub fn broke(&self) -> bool {
         matches!(self.outcome, Some(Outcome::Failed | Outcome::Reset))
     }
 
-    /// A fill brought the answer: its own, or one that it joined.
+    /// Whether the answer came from a fill, either the attempt's own or one that it joined.
     pub fn brought_by_fill(&self) -> bool {
         self.detail.filled() || self.detail == Detail::Joined
     }
 
-    /// Neither member nor source had a copy, and no fetch was requested.
+    /// Whether neither the member nor the source had a copy and no fetch was requested.
     pub fn missed_lookup(&self) -> bool {
         self.lookup_only && self.outcome == Some(Outcome::Miss)
     }
 
-    /// The origin failed the source, or the source would have to fetch what it may not.
+    /// Whether the fetch failed at the origin, or the source has no copy and was not allowed to fetch one.
     pub fn fetch_failed(&self) -> bool {
         let source_lacks = self.missed_lookup() && self.source.is_some() && !self.from_sibling;
         self.detail == Detail::OriginFailed || source_lacks
     }
 }
 
-/// A member that was penalized for a broken attempt, so that this can be undone.
+/// Penalty of a member for a broken attempt, kept so that it can be reversed.
 pub struct Penalty {
-    /// Who was penalized.
+    /// The penalized member.
     pub member: MemberId,
-    /// Its health before.
-    pub health_before: Health,
-    /// When.
-    pub at: Micros,
+    /// Health of the member before the penalty.
+    pub previous_health: Health,
+    /// When the member was penalized.
+    pub penalized_at: Micros,
 }
 
 /// An open request.
 #[derive(Default)]
 pub struct RequestState {
-    /// What the client asks for.
+    /// The request as received from the client.
     pub request: Request,
-    /// Its class, an index into the settings.
+    /// Index of the request's class in the settings.
     pub class: usize,
-    /// Orders the members that may serve it; the same at all gateways.
+    /// Key for the rendezvous order of members; the same at all gateways.
     pub routing_key: u64,
-    /// By which purges find its object.
+    /// Hash by which purges of the object are found.
     pub object_hash: u64,
-    /// At which rank its copy is cached; 0: it is not.
+    /// Rank at which the copy is cached; 0 if it is not cached.
     pub cache_rank: u8,
-    /// Seconds that its answer takes to send.
+    /// Expected sending time of the answer, in seconds.
     pub send_seconds: f64,
-    /// By when it is to have its final answer.
+    /// When the final answer is due.
     pub deadline: Micros,
-    /// Its attempts by number.
+    /// Attempts of the request, indexed by attempt number.
     pub attempts: Vec<Attempt>,
-    /// Sources that failed it.
+    /// Sources that failed a fill for the request.
     pub failed_sources: Vec<MemberId>,
-    /// Members that were penalized for its first broken attempts.
+    /// Penalties of members for the first broken attempts of the request.
     pub penalties: Vec<Penalty>,
-    /// When the backoff before its next attempt ends.
+    /// When the backoff before the next attempt ends.
     pub retry_at: Option<Micros>,
-    /// It has had its final answer; attempts may still be in flight.
+    /// Whether the request has its final answer. Attempts may still be in flight.
     pub finished: bool,
 }
