--- a/crates/ledger/src/allocator.rs
+++ b/crates/ledger/src/allocator.rs
@@ -1,28 +1,28 @@
-//! The allocator of a budget, at the gateway that holds the budget's lease.
+//! Quota allocator: grants amounts of a budget at the gateway that holds the budget's lease.
 
-use crate::token_bucket::rate_over;
+use crate::token_bucket::amount_micros;
 use crate::{Amount, Grant, GrantRequest, MICROS_PER_SECOND, Micros, ONE_CALL, QuotaParameters, TokenBucket};
 use std::collections::BTreeMap;
 
-/// Rate transfers that are remembered in each direction, at most.
+/// Maximum number of rate transfers in force in each direction.
 const MAX_RATE_TRANSFERS: usize = 64;
-/// How long an answered request is remembered, in grant lifetimes.
-const ANSWER_LIFETIMES: u64 = 8;
+/// Time for which an answered request is kept to recognize duplicates, in grant lifetimes.
+const ANSWER_RETENTION_LIFETIMES: u64 = 8;
 
-/// A quota client: a gateway, and its process.
+/// Identity of a quota client: a gateway and its process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Requester {
     /// The gateway's number in the fleet.
     pub member: u16,
-    /// The gateway's process.
+    /// The incarnation of the gateway's process.
     pub incarnation: u64,
 }
 
-/// The allocator of another region with which rate is exchanged.
+/// The quota allocator of another region, as the other side of a rate transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Counterparty(pub u64);
 
-/// A part of the rate that another region's allocator has for a time, or that this one has from it.
+/// A part of the rate that is transferred to or from another region's allocator for a limited time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct RateTransfer {
     counterparty: Counterparty,
@@ -32,37 +32,39 @@
 }
 
 impl RateTransfer {
+    /// The time within `from..until` during which the transfer is in force.
     fn overlap(&self, from: Micros, until: Micros) -> Micros {
         self.until.min(until).saturating_sub(self.from.max(from))
     }
 }
 
+/// The latest answered request of a gateway, kept to recognize duplicates and to divide the quota by demand.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct AnsweredRequest {
     incarnation: u64,
     number: u32,
     granted: Amount,
     wanted: Amount,
-    at: Micros,
+    answered_at: Micros,
 }
 
-/// What an earlier answer to the same client says of a request.
-enum Replay {
+/// Classification of a request by the latest answer to the same client.
+enum RequestStatus {
     /// The request is new.
     New,
-    /// The request was answered already.
-    Copy(Amount),
-    /// A later request was answered already.
+    /// The request was already answered with this amount.
+    Duplicate(Amount),
+    /// A later request was already answered.
     Outdated,
 }
 
-/// Grants out of a budget for one lease holder in one epoch. It starts empty, because all that earlier allocators have
-/// granted may still be spent.
+/// Grants amounts of a budget on behalf of one lease holder in one epoch. It starts empty, because the amounts granted by
+/// earlier allocators may still be spent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QuotaAllocator {
     parameters: QuotaParameters,
     bucket: TokenBucket,
-    /// The latest request of each member.
+    /// The latest answered request of each gateway, by its number in the fleet.
     answered: BTreeMap<u16, AnsweredRequest>,
     transferred_out: Vec<RateTransfer>,
     transferred_in: Vec<RateTransfer>,
@@ -70,7 +72,7 @@
 }
 
 impl QuotaAllocator {
-    /// An empty allocator.
+    /// Creates an empty allocator.
     pub fn new(parameters: QuotaParameters, now: Micros) -> QuotaAllocator {
         QuotaAllocator {
             parameters,
@@ -82,53 +84,55 @@
         }
     }
 
-    /// All that this allocator has granted.
+    /// The total amount that this allocator has granted.
     pub fn issued(&self) -> Amount {
         self.issued
     }
 
-    /// What it could grant as of its last refill.
+    /// The amount available for grants as of the last refill.
     pub fn level(&self) -> Amount {
         self.bucket.level()
     }
 
-    /// What the rate transferred out yields over a span, in the unit of [`rate_over`].
-    fn transferred_out_over(&self, from: Micros, until: Micros) -> u128 {
+    /// The amount that the rate transferred out yields between two times, in the unit of [`amount_micros`].
+    fn transferred_out_between(&self, from: Micros, until: Micros) -> u128 {
         let ends = self.transferred_out.iter().flat_map(|transfer| [transfer.from, transfer.until]);
-        let mut cuts: Vec<Micros> = ends.chain([from, until]).collect();
-        cuts.retain(|at| (from..=until).contains(at));
-        cuts.sort_unstable();
-        let over = |pair: &[Micros]| {
-            let in_force = self.transferred_out.iter().filter(|it| it.overlap(pair[0], pair[1]) > 0);
-            rate_over(highest_rates(in_force), pair[1] - pair[0])
+        let mut boundaries: Vec<Micros> = ends.chain([from, until]).collect();
+        boundaries.retain(|time| (from..=until).contains(time));
+        boundaries.sort_unstable();
+        let segment_yield = |segment: &[Micros]| {
+            let in_force =
+                self.transferred_out.iter().filter(|transfer| transfer.overlap(segment[0], segment[1]) > 0);
+            amount_micros(highest_rates(in_force), segment[1] - segment[0])
         };
-        cuts.windows(2).map(over).sum()
+        boundaries.windows(2).map(segment_yield).sum()
     }
 
     fn refill(&mut self, now: Micros) {
         let from = self.bucket.refilled_until();
-        let own = rate_over(self.parameters.rate, now.saturating_sub(from));
-        let incoming = |transfer: &RateTransfer| rate_over(transfer.rate, transfer.overlap(from, now));
-        let transferred_in: u128 = self.transferred_in.iter().map(incoming).sum();
-        let transferred_out = self.transferred_out_over(from, now.max(from));
+        let own_yield = amount_micros(self.parameters.rate, now.saturating_sub(from));
+        let transfer_yield =
+            |transfer: &RateTransfer| amount_micros(transfer.rate, transfer.overlap(from, now));
+        let transferred_in: u128 = self.transferred_in.iter().map(transfer_yield).sum();
+        let transferred_out = self.transferred_out_between(from, now.max(from));
         self.bucket.refill(now, Amount::ZERO);
-        self.bucket.add((own + transferred_in).saturating_sub(transferred_out));
+        self.bucket.add((own_yield + transferred_in).saturating_sub(transferred_out));
         self.transferred_out.retain(|transfer| now < transfer.until);
         self.transferred_in.retain(|transfer| now < transfer.until);
     }
 
-    /// Answers a request, in proportion to what other clients have recently wanted as well. `None`: the request is
-    /// outdated.
+    /// Answers a request with a share of the available amount, in proportion to the recent requests of all clients.
+    /// Returns `None` if the request is outdated.
     pub fn grant(&mut self, now: Micros, requester: Requester, request: GrantRequest) -> Option<Grant> {
         self.refill(now);
-        let remembered = self.parameters.grant_lifetime * ANSWER_LIFETIMES;
-        self.answered.retain(|_, answered| now < answered.at + remembered);
+        let retention = self.parameters.grant_lifetime * ANSWER_RETENTION_LIFETIMES;
+        self.answered.retain(|_, answered| now < answered.answered_at + retention);
         let Requester { member, incarnation } = requester;
         let answer = |amount| Grant { to: incarnation, number: request.number, amount };
-        match self.replay(requester, request.number) {
-            Replay::Copy(granted) => return Some(answer(granted)),
-            Replay::Outdated => return None,
-            Replay::New => {}
+        match self.request_status(requester, request.number) {
+            RequestStatus::Duplicate(granted) => return Some(answer(granted)),
+            RequestStatus::Outdated => return None,
+            RequestStatus::New => {}
         }
         let granted = self.fair_amount(now, member, request.want);
         if !self.bucket.take(granted) {
@@ -136,63 +140,64 @@
         }
         self.issued += granted;
         let (number, wanted) = (request.number, request.want);
-        let answered = AnsweredRequest { incarnation, number, granted, wanted, at: now };
+        let answered = AnsweredRequest { incarnation, number, granted, wanted, answered_at: now };
         self.answered.insert(member, answered);
         Some(answer(granted))
     }
 
-    fn replay(&self, requester: Requester, number: u32) -> Replay {
+    fn request_status(&self, requester: Requester, number: u32) -> RequestStatus {
         let answered = self.answered.get(&requester.member);
-        let Some(answered) = answered.filter(|it| it.incarnation == requester.incarnation) else {
-            return Replay::New;
+        let Some(answered) = answered.filter(|answered| answered.incarnation == requester.incarnation) else {
+            return RequestStatus::New;
         };
         if number == answered.number {
-            return Replay::Copy(answered.granted);
+            return RequestStatus::Duplicate(answered.granted);
         }
-        // Numbers wrap around: what lies behind by less than half of them is late.
+        // Request numbers wrap around: a number is older if it lies less than half of the number space behind.
         if number.wrapping_sub(answered.number) > u32::MAX / 2 {
-            return Replay::Outdated;
+            return RequestStatus::Outdated;
         }
-        Replay::New
+        RequestStatus::New
     }
 
-    /// A client's part of what can be granted, in whole calls: less pays for nothing and would be lost. Where there are
-    /// fewer calls than clients that want one, the first to ask gets one.
+    /// A client's share of the available amount, in whole calls, since a fraction of a call could not be spent and would
+    /// expire. If fewer calls are available than clients request, calls are granted one each in the order of requests.
     fn fair_amount(&self, now: Micros, member: u16, want: Amount) -> Amount {
         let lifetime = self.parameters.grant_lifetime;
-        let others: u128 = self
+        let wanted_by_others: u128 = self
             .answered
             .iter()
-            .filter(|(other, answered)| **other != member && now < answered.at + lifetime)
+            .filter(|(other, answered)| **other != member && now < answered.answered_at + lifetime)
             .map(|(_, answered)| u128::from(answered.wanted.thousandths()))
             .sum();
         let wanted = u128::from(want.thousandths());
         let level = self.bucket.level();
-        let share = level.scaled(wanted, others + wanted);
+        let share = level.scaled(wanted, wanted_by_others + wanted);
         want.min(share.max(level.min(ONE_CALL))).whole_calls()
     }
 
-    /// What this region's clients have recently wanted, per second.
+    /// The recent demand of this region's clients, per second.
     pub fn demand(&self, now: Micros) -> Amount {
         let lifetime = self.parameters.grant_lifetime;
-        let recent = self.answered.values().filter(|answered| now < answered.at + lifetime);
+        let recent = self.answered.values().filter(|answered| now < answered.answered_at + lifetime);
         let wanted: Amount = recent.map(|answered| answered.wanted).sum();
         wanted.scaled(u128::from(MICROS_PER_SECOND), u128::from(lifetime))
     }
 
-    /// The rate that other regions have from this one now.
+    /// The rate currently transferred to other regions.
     pub fn transferred_out(&self, now: Micros) -> Amount {
-        Amount::from_thousandths(self.transferred_out_over(now, now + 1) as u64)
+        Amount::from_thousandths(self.transferred_out_between(now, now + 1) as u64)
     }
 
-    /// Transfers a part of the rate to another region's allocator for `duration` of this clock, and returns how much. What
-    /// that allocator may have from earlier transfers counts until those end. What this region's own clients have recently
-    /// wanted stays here.
+    /// Transfers a part of the rate to another region's allocator for `duration` of this clock, and returns the rate that
+    /// was transferred. Earlier transfers to the same allocator remain in force until they end, and the recent demand of
+    /// this region's own clients is withheld.
     pub fn transfer_out(&mut self, now: Micros, to: Counterparty, want: Amount, duration: Micros) -> Amount {
         self.refill(now);
-        let own = self.demand(now);
-        let to_others = highest_rates(self.transferred_out.iter().filter(|it| it.counterparty != to));
-        let rate = want.min(self.parameters.rate.saturating_sub(own + to_others));
+        let own_demand = self.demand(now);
+        let transferred_to_others =
+            highest_rates(self.transferred_out.iter().filter(|transfer| transfer.counterparty != to));
+        let rate = want.min(self.parameters.rate.saturating_sub(own_demand + transferred_to_others));
         if rate == Amount::ZERO || self.transferred_out.len() >= MAX_RATE_TRANSFERS {
             return Amount::ZERO;
         }
@@ -201,8 +206,8 @@
         rate
     }
 
-    /// Takes in a rate that another region's allocator has transferred, until a time that is counted from when it was
-    /// requested. It replaces the transfer before of the same counterparty.
+    /// Records a rate that another region's allocator has transferred, which replaces the previous transfer from the same
+    /// counterparty. `until` is measured from the time of the request, so that a delayed answer does not extend it.
     pub fn transfer_in(&mut self, now: Micros, from: Counterparty, rate: Amount, until: Micros) {
         self.refill(now);
         self.transferred_in.retain(|transfer| transfer.counterparty != from);
@@ -212,7 +217,7 @@
     }
 }
 
-/// The highest rate of each counterparty, added up: it may have received any one of several transfers.
+/// The sum of the highest rate of each counterparty, which may have received any of several overlapping transfers.
 fn highest_rates<'a>(transfers: impl Iterator<Item = &'a RateTransfer>) -> Amount {
     let mut highest: BTreeMap<Counterparty, Amount> = BTreeMap::new();
     for transfer in transfers {
--- a/crates/ledger/src/allocator/tests.rs
+++ b/crates/ledger/src/allocator/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::Budget;
 
-/// 100 calls in 10 s, an overdraft of a quarter, a tenth in reserves.
+/// Parameters of a budget of 100 calls in 10 s, with an overdraft of 25 % and 10 % in reserves.
 fn parameters() -> QuotaParameters {
     Budget { amount: Amount::calls(100), window: 10_000_000, overdraft: 250, reserve: 100 }
         .parameters(10, 10)
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn duplicate_request_is_granted_once() {
+fn duplicate_request_gets_the_same_grant_once() {
     let mut allocator = QuotaAllocator::new(parameters(), 0);
     let first = allocator.grant(500_000, requester(1, 1), GrantRequest { number: 7, want: ONE_CALL });
     assert_eq!(allocator.grant(500_100, requester(1, 1), GrantRequest { number: 7, want: ONE_CALL }), first);
@@ -39,16 +39,16 @@
     assert_eq!(
         allocator.grant(500_100, requester(1, 1), GrantRequest { number: 6, want: ONE_CALL }),
         None,
-        "outdated"
+        "outdated request"
     );
     assert!(
         allocator.grant(500_200, requester(1, 2), GrantRequest { number: 7, want: ONE_CALL }).is_some(),
-        "from another process"
+        "same number from another process"
     );
 }
 
 #[test]
-fn concurrent_requests_share_what_is_left() {
+fn concurrent_requests_share_the_available_amount() {
     let mut allocator = QuotaAllocator::new(parameters(), 0);
     for member in 1..=3 {
         allocator.grant(0, requester(member, 1), GrantRequest { number: 1, want: Amount::calls(10) });
@@ -68,7 +68,7 @@
 fn transferred_rate_is_withheld_until_every_transfer_ends() {
     let mut allocator = QuotaAllocator::new(parameters(), 0);
     assert_eq!(allocator.transfer_out(0, Counterparty(7), Amount::calls(6), 1_000_000), Amount::calls(6));
-    // A later, smaller transfer: the counterparty may not have received it yet.
+    // The counterparty may not have received the later, smaller transfer yet.
     assert_eq!(
         allocator.transfer_out(500_000, Counterparty(7), Amount::calls(2), 1_000_000),
         Amount::calls(2)
@@ -78,16 +78,16 @@
     assert_eq!(
         allocator.transfer_out(600_000, Counterparty(8), Amount::calls(9), 100),
         Amount::calls(3),
-        "no more than is left"
+        "limited to the remaining rate"
     );
-    let mut other = QuotaAllocator::new(parameters(), 0);
-    other.transfer_in(0, Counterparty(7), Amount::calls(6), 1_000_000);
-    other.transfer_in(500_000, Counterparty(7), Amount::calls(2), 1_000_000);
-    other.refill(500_000);
-    let at_half = other.level();
-    other.refill(600_000);
+    let mut receiver = QuotaAllocator::new(parameters(), 0);
+    receiver.transfer_in(0, Counterparty(7), Amount::calls(6), 1_000_000);
+    receiver.transfer_in(500_000, Counterparty(7), Amount::calls(2), 1_000_000);
+    receiver.refill(500_000);
+    let level_at_second_transfer = receiver.level();
+    receiver.refill(600_000);
     assert_eq!(
-        other.level(),
-        (at_half + Amount::from_thousandths(1_100)).min(Amount::from_thousandths(6_250))
+        receiver.level(),
+        (level_at_second_transfer + Amount::from_thousandths(1_100)).min(Amount::from_thousandths(6_250))
     );
 }
--- a/crates/ledger/src/amount.rs
+++ b/crates/ledger/src/amount.rs
@@ -1,4 +1,4 @@
-//! Amounts of a budget.
+//! Amounts of a budget, with saturating addition.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -7,18 +7,18 @@
 
 const THOUSANDTHS_PER_CALL: u64 = 1_000;
 
-/// A part of a budget, in thousandths of one call, so that a small share of a budget is not rounded to nothing.
+/// An amount of a budget, in thousandths of one call, so that small shares are not rounded down to zero.
 ///
-/// A sum saturates, as requested amounts come from other processes. A difference that would be negative is a fault of
-/// the caller: use [`Amount::saturating_sub`] where it can occur.
+/// Addition saturates, because requested amounts come from other processes. A subtraction with a negative result is a
+/// programming error: use [`Amount::saturating_sub`] where it can occur.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Amount(u64);
 
-/// What one call costs.
+/// The cost of one call.
 pub const ONE_CALL: Amount = Amount(THOUSANDTHS_PER_CALL);
 
 impl Amount {
-    /// Nothing.
+    /// The zero amount.
     pub const ZERO: Amount = Amount(0);
 
     /// The cost of a number of calls.
@@ -26,7 +26,7 @@
         Amount(calls * THOUSANDTHS_PER_CALL)
     }
 
-    /// An amount from thousandths of a call.
+    /// Creates an amount from thousandths of a call.
     pub const fn from_thousandths(thousandths: u64) -> Amount {
         Amount(thousandths)
     }
@@ -36,26 +36,26 @@
         self.0
     }
 
-    /// The difference, or nothing where `other` is larger.
+    /// The difference, or zero if `other` is larger.
     #[must_use]
     pub const fn saturating_sub(self, other: Amount) -> Amount {
         Amount(self.0.saturating_sub(other.0))
     }
 
-    /// The amount without the part that does not pay for a whole call.
+    /// The amount rounded down to whole calls.
     #[must_use]
     pub fn whole_calls(self) -> Amount {
         self - self % ONE_CALL
     }
 
-    /// `self * numerator / denominator`, rounded down. A denominator of zero counts as one.
+    /// `self * numerator / denominator`, rounded down. A denominator of zero is treated as one.
     pub(crate) fn scaled(self, numerator: u128, denominator: u128) -> Amount {
         Amount((u128::from(self.0) * numerator / denominator.max(1)) as u64)
     }
 }
 
 impl fmt::Display for Amount {
-    /// Thousandths of a call, without a unit.
+    /// Writes the amount in thousandths of a call, without a unit.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(formatter)
     }
--- a/crates/ledger/src/budget.rs
+++ b/crates/ledger/src/budget.rs
@@ -1,87 +1,89 @@
-//! What operators state of a budget, and the quota parameters that follow.
+//! Budget settings and the quota parameters derived from them.
 
 use crate::{Amount, MICROS_PER_SECOND, Micros};
 
-/// The whole of a fraction in thousandths.
-const WHOLE: u64 = 1_000;
-/// The largest overdraft for which the bound holds: the budget once more.
-const MAX_OVERDRAFT: u64 = WHOLE;
-/// The overdraft must be at least this many times the clock drift.
-const OVERDRAFT_PER_DRIFT: u64 = 8;
-/// The part of the overdraft that a bucket may hold, and the part of the window that a grant lasts: see the proof in the
-/// crate's documentation.
+/// The value of one in thousandths.
+const PER_MILLE: u64 = 1_000;
+/// The largest overdraft for which the bound holds: once the budget.
+const MAX_OVERDRAFT_PER_MILLE: u64 = PER_MILLE;
+/// The smallest permitted ratio of the overdraft to the clock drift.
+const MIN_OVERDRAFT_TO_DRIFT_RATIO: u64 = 8;
+/// Divides the overdraft amount to give the capacity of a token bucket; see the proof in the crate documentation.
 const CAPACITY_DIVISOR: u64 = 4;
+/// Divides the overdraft share of the window to give the grant lifetime; see the proof in the crate documentation.
 const LIFETIME_DIVISOR: u64 = 5;
 
-/// What operators state of a budget.
+/// Budget settings, as configured by operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
-    /// What all gateways together may spend in a window.
+    /// The amount that all gateways together may spend in a window.
     pub amount: Amount,
     /// The length of the window.
     pub window: Micros,
-    /// How far a window may exceed the amount, in thousandths of it.
+    /// The excess over the amount that a window may have, in thousandths of the amount.
     pub overdraft: u64,
-    /// The part that gateways have as local reserves, all together, in thousandths of the amount.
+    /// The share set aside for the local reserves of all gateways together, in thousandths of the amount.
     pub reserve: u64,
 }
 
-/// Why a budget can't be enforced.
+/// Reason why a budget can't be enforced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BudgetError {
-    /// The overdraft is larger than the budget, in thousandths.
-    #[error("an overdraft of {overdraft} thousandths is over the budget itself")]
+    /// The overdraft exceeds the budget.
+    #[error("expected an overdraft of at most the budget, got {overdraft} thousandths of it")]
     OverdraftTooLarge {
-        /// The stated overdraft.
+        /// The configured overdraft, in thousandths.
         overdraft: u64,
     },
-    /// The clocks may drift too far for the overdraft, both in thousandths.
-    #[error("clocks may drift by {drift} thousandths: an overdraft under {minimum} can't be kept")]
+    /// The overdraft is too small for the clock drift.
+    #[error(
+        "expected an overdraft of at least {minimum} thousandths for a clock drift of {drift} thousandths"
+    )]
     OverdraftBelowDrift {
-        /// The stated drift.
+        /// The configured clock drift, in thousandths.
         drift: u64,
-        /// The least overdraft that is possible with it.
+        /// The smallest overdraft permitted with this drift, in thousandths.
         minimum: u64,
     },
 }
 
-/// What an allocator and its clients do for a budget.
+/// Parameters of a quota allocator and its clients, derived from a budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct QuotaParameters {
-    /// What the allocator may issue per second.
+    /// The refill rate of the allocator's token bucket, per second.
     pub rate: Amount,
-    /// What the allocator's token bucket holds at most.
+    /// The capacity of the allocator's token bucket.
     pub capacity: Amount,
-    /// How long a grant can be spent, from when it was requested.
+    /// The time during which a grant can be spent, measured from its request.
     pub grant_lifetime: Micros,
-    /// What each gateway's local reserve is refilled with per second.
+    /// The refill rate of each gateway's local reserve, per second.
     pub reserve_rate: Amount,
-    /// What each gateway's local reserve holds at most.
+    /// The capacity of each gateway's local reserve.
     pub reserve_capacity: Amount,
 }
 
 impl Budget {
-    /// The parameters for a number of gateways whose clocks drift by `drift` thousandths at most.
+    /// Derives the parameters for a number of gateways whose clocks drift by at most `drift` thousandths.
     ///
     /// # Errors
     ///
-    /// [`BudgetError`] where the bound would not hold.
+    /// Returns a [`BudgetError`] if the bound on spending would not hold.
     pub fn parameters(&self, gateways: u64, drift: u64) -> Result<QuotaParameters, BudgetError> {
         let Budget { amount, window, overdraft, reserve } = *self;
-        if overdraft > MAX_OVERDRAFT {
+        if overdraft > MAX_OVERDRAFT_PER_MILLE {
             return Err(BudgetError::OverdraftTooLarge { overdraft });
         }
-        let minimum = drift * OVERDRAFT_PER_DRIFT;
+        let minimum = drift * MIN_OVERDRAFT_TO_DRIFT_RATIO;
         if minimum > overdraft {
             return Err(BudgetError::OverdraftBelowDrift { drift, minimum });
         }
         let gateways = gateways.max(1);
-        let reserved = amount * reserve.min(WHOLE) / WHOLE;
-        let capacity = amount * overdraft / (WHOLE * CAPACITY_DIVISOR);
+        let reserved = amount * reserve.min(PER_MILLE) / PER_MILLE;
+        let capacity = amount * overdraft / (PER_MILLE * CAPACITY_DIVISOR);
         Ok(QuotaParameters {
             rate: per_second(amount - reserved, window),
             capacity,
-            grant_lifetime: window * overdraft / (WHOLE * LIFETIME_DIVISOR),
+            grant_lifetime: window * overdraft / (PER_MILLE * LIFETIME_DIVISOR),
             reserve_rate: per_second(reserved, window) / gateways,
             reserve_capacity: capacity / gateways,
         })
--- a/crates/ledger/src/budget/tests.rs
+++ b/crates/ledger/src/budget/tests.rs
@@ -5,9 +5,9 @@
     Budget { amount: Amount::calls(100), window: 10_000_000, overdraft: 250, reserve: 100 };
 
 #[rstest]
-#[case::overdraft_over_the_budget(1_001, 10, BudgetError::OverdraftTooLarge { overdraft: 1_001 })]
-#[case::overdraft_below_the_drift(79, 10, BudgetError::OverdraftBelowDrift { drift: 10, minimum: 80 })]
-fn parameters_of_an_unenforceable_budget_are_rejected(
+#[case::overdraft_above_the_budget(1_001, 10, BudgetError::OverdraftTooLarge { overdraft: 1_001 })]
+#[case::overdraft_too_small_for_the_drift(79, 10, BudgetError::OverdraftBelowDrift { drift: 10, minimum: 80 })]
+fn unenforceable_budget_is_rejected_with_its_reason(
     #[case] overdraft: u64,
     #[case] drift: u64,
     #[case] error: BudgetError,
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn parameters_of_a_budget_split_rate_and_reserve() {
+fn budget_is_divided_between_allocator_and_reserves() {
     let expected = QuotaParameters {
         rate: Amount::calls(9),
         capacity: Amount::from_thousandths(6_250),
--- a/crates/ledger/src/client.rs
+++ b/crates/ledger/src/client.rs
@@ -1,52 +1,54 @@
-//! The quota of one gateway: what it was granted, its local reserve, and when it requests more.
+//! Quota client: the quota leases and local reserve of one gateway, and its requests for more quota.
 
 use crate::{Amount, Grant, GrantRequest, Micros, ONE_CALL, QuotaParameters, TokenBucket};
 
-/// Requests during the lifetime of one grant, at most.
+/// Maximum number of requests during one grant lifetime.
 const REQUESTS_PER_LIFETIME: Micros = 8;
-/// Quota leases at one time, at most.
+/// Maximum number of quota leases held at a time.
 const MAX_QUOTA_LEASES: usize = 16;
-/// Announced calls, at most; further ones are paid for with what there is.
+/// Maximum number of expected calls. No quota is requested for calls beyond it; they are paid for from the quota leases
+/// and the reserve at hand.
 const MAX_EXPECTED_CALLS: usize = 256;
-/// Demand below this is not forecast: a grant for it would expire unused, where other gateways could use it.
-const MIN_FORECAST: Amount = Amount::calls(4);
-/// A call is requested for when it is due within this part of a grant's lifetime: what is requested earlier would expire
-/// before the call.
-const EXPECTED_HORIZON_DIVISOR: Micros = 3;
-
-/// How a call was paid for.
+/// Recent demand below this is not forecast to continue: a grant for it would expire unused, although other
+/// gateways could have spent it.
+const MIN_FORECAST_DEMAND: Amount = Amount::calls(4);
+/// Divides the grant lifetime to give the horizon within which quota is requested for expected calls. Quota requested
+/// earlier would expire before the call.
+const EXPECTED_CALL_HORIZON_DIVISOR: Micros = 3;
+
+/// Source from which a call was paid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Payment<A> {
-    /// From the gateway's local reserve.
+    /// The gateway's local reserve.
     Reserve,
-    /// From a quota lease that was granted under this authority.
+    /// A quota lease that was granted under this authority.
     Leased(A),
 }
 
 /// A granted amount that can be spent until it expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct QuotaLease<A> {
-    /// What is left of it.
+    /// The remaining amount.
     pub amount: Amount,
-    /// When it expires.
+    /// The time at which the lease expires.
     pub until: Micros,
-    /// Under what it was granted: void when that is fenced.
+    /// The authority under which the lease was granted; the lease is void once it is fenced.
     pub authority: A,
 }
 
-/// The latest request to the allocator.
+/// The latest request sent to the allocator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct LatestRequest {
     number: u32,
-    sent: Micros,
-    /// A copy of the answer counts no more.
+    sent_at: Micros,
+    /// Whether the answer was received; a duplicate of it is ignored.
     answered: bool,
 }
 
-/// Demand by windows of one grant's lifetime.
+/// Demand in the current and the previous window, each one grant lifetime long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct DemandWindows {
-    /// When the current window began.
+    /// The start of the current window.
     start: Micros,
     previous: Amount,
     current: Amount,
@@ -57,7 +59,7 @@
         DemandWindows { start: now, previous: Amount::ZERO, current: Amount::ZERO }
     }
 
-    /// Begins a new window where the current one is over. Returns whether it did.
+    /// Starts a new window if the current one has ended, and returns whether it did.
     fn roll(&mut self, now: Micros, length: Micros) -> bool {
         let passed = now.saturating_sub(self.start) / length;
         if passed == 0 {
@@ -74,30 +76,30 @@
     }
 }
 
-/// The quota of one gateway from one budget. `A` is the authority under which grants are made, such as a claim.
+/// The quota that one gateway holds of one budget. `A` is the authority under which grants are made, such as a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuotaClient<A> {
     parameters: QuotaParameters,
     incarnation: u64,
     reserve: TokenBucket,
     leases: Vec<QuotaLease<A>>,
-    /// The number of the latest request.
-    number: u32,
+    latest_request_number: u32,
     latest_request: Option<LatestRequest>,
     demand: DemandWindows,
-    /// When announced calls are due.
+    /// The times at which expected calls are due.
     expected_calls: Vec<Micros>,
 }
 
 impl<A: Copy> QuotaClient<A> {
-    /// A client with an empty reserve. `incarnation` distinguishes this process from earlier ones of the same gateway.
+    /// Creates a client with an empty reserve. `incarnation` distinguishes this process from earlier ones of the same
+    /// gateway.
     pub fn new(parameters: QuotaParameters, incarnation: u64, now: Micros) -> QuotaClient<A> {
         QuotaClient {
             parameters,
             incarnation,
             reserve: TokenBucket::new(parameters.reserve_capacity, now),
             leases: Vec::new(),
-            number: 0,
+            latest_request_number: 0,
             latest_request: None,
             demand: DemandWindows::new(now),
             expected_calls: Vec::new(),
@@ -107,39 +109,40 @@
     fn roll_demand(&mut self, now: Micros) {
         let length = self.parameters.grant_lifetime.max(1);
         if self.demand.roll(now, length) {
-            // A call that was announced and never made is not requested for again and again.
+            // Drops expected calls that were never made, so that quota is not requested for them repeatedly.
             self.expected_calls.retain(|due| now < *due + length);
         }
     }
 
-    /// Announces one call that is due at `at`, so that quota is requested for it in time.
-    pub fn expect_call(&mut self, at: Micros) {
+    /// Registers an expected call that is due at `due`, so that quota is requested for it in time.
+    pub fn expect_call(&mut self, due: Micros) {
         if self.expected_calls.len() < MAX_EXPECTED_CALLS {
-            self.expected_calls.push(at);
+            self.expected_calls.push(due);
         }
     }
 
     fn expected_calls_due(&self, now: Micros) -> u64 {
-        let horizon = now + self.parameters.grant_lifetime / EXPECTED_HORIZON_DIVISOR;
+        let horizon = now + self.parameters.grant_lifetime / EXPECTED_CALL_HORIZON_DIVISOR;
         self.expected_calls.iter().filter(|due| **due <= horizon).count() as u64
     }
 
-    fn forget_earliest_expected_call(&mut self) {
+    fn remove_earliest_expected_call(&mut self) {
         let earliest = (0..self.expected_calls.len()).min_by_key(|index| self.expected_calls[*index]);
         if let Some(index) = earliest {
             self.expected_calls.swap_remove(index);
         }
     }
 
-    /// Pays for one call; `None` if there is nothing left. Quota leases are spent before the reserve, as they expire.
-    /// `fenced` says whether an authority counts no more; leases under it are dropped.
-    pub fn spend(&mut self, now: Micros, fenced: impl Fn(&A) -> bool) -> Option<Payment<A>> {
+    /// Pays for one call and returns the source, or `None` if neither a quota lease nor the reserve covers it. Quota
+    /// leases are spent before the reserve, because they expire. Leases whose authority is void according to `is_fenced`
+    /// are dropped.
+    pub fn spend(&mut self, now: Micros, is_fenced: impl Fn(&A) -> bool) -> Option<Payment<A>> {
         self.roll_demand(now);
         self.demand.current += ONE_CALL;
-        self.forget_earliest_expected_call();
-        self.leases.retain(|lease| now < lease.until && !fenced(&lease.authority));
+        self.remove_earliest_expected_call();
+        self.leases.retain(|lease| now < lease.until && !is_fenced(&lease.authority));
         self.reserve.refill(now, self.parameters.reserve_rate);
-        // What is left of several leases does not pay together: each expires by itself.
+        // Remainders of several leases are not combined to pay for one call, because each lease expires separately.
         if let Some(lease) = self.leases.iter_mut().find(|lease| lease.amount >= ONE_CALL) {
             lease.amount -= ONE_CALL;
             return Some(Payment::Leased(lease.authority));
@@ -147,45 +150,46 @@
         self.reserve.take(ONE_CALL).then_some(Payment::Reserve)
     }
 
-    /// What is left of all quota leases, without the reserve.
+    /// The remaining amount of all quota leases, without the reserve.
     pub fn balance(&self, now: Micros) -> Amount {
         self.balance_after(now)
     }
 
-    /// What is left of the quota leases that expire later than `time`.
+    /// The remaining amount of the quota leases that expire after `time`.
     fn balance_after(&self, time: Micros) -> Amount {
         self.leases.iter().filter(|lease| lease.until > time).map(|lease| lease.amount).sum()
     }
 
-    /// Requests more where the leases will not cover the recent demand or the announced calls. `None`: there is enough, or
-    /// the latest request is too recent.
+    /// Creates a request if the leases will not cover the recent demand or the expected calls. Returns `None` if they will,
+    /// or if the latest request is too recent.
     pub fn request(&mut self, now: Micros) -> Option<GrantRequest> {
         self.roll_demand(now);
         let interval = self.parameters.grant_lifetime / REQUESTS_PER_LIFETIME;
-        if self.latest_request.is_some_and(|request| now < request.sent + interval) {
+        if self.latest_request.is_some_and(|request| now < request.sent_at + interval) {
             return None;
         }
         let recent = self.demand.highest();
-        let forecast = if recent >= MIN_FORECAST { recent } else { Amount::ZERO };
-        let needed = forecast.max(Amount::calls(self.expected_calls_due(now)));
-        let want = needed.saturating_sub(self.balance_after(now + interval));
+        let forecast = if recent >= MIN_FORECAST_DEMAND { recent } else { Amount::ZERO };
+        let required = forecast.max(Amount::calls(self.expected_calls_due(now)));
+        let want = required.saturating_sub(self.balance_after(now + interval));
         if want < ONE_CALL {
             return None;
         }
-        self.number = self.number.wrapping_add(1);
-        self.latest_request = Some(LatestRequest { number: self.number, sent: now, answered: false });
-        Some(GrantRequest { number: self.number, want })
+        self.latest_request_number = self.latest_request_number.wrapping_add(1);
+        self.latest_request =
+            Some(LatestRequest { number: self.latest_request_number, sent_at: now, answered: false });
+        Some(GrantRequest { number: self.latest_request_number, want })
     }
 
-    /// Takes a grant in, and returns whether it can be spent. Only the answer to the latest request counts, and once. It
-    /// lasts from when that request was sent, however long the answer was on its way.
+    /// Records a grant and returns whether it can be spent. Only the first answer to the latest request is accepted. The
+    /// lifetime starts when that request was sent, so that a delayed answer does not extend it.
     pub fn receive(&mut self, now: Micros, grant: Grant, authority: A) -> bool {
         let Some(request) = &mut self.latest_request else { return false };
         if request.answered || (self.incarnation, request.number) != (grant.to, grant.number) {
             return false;
         }
         request.answered = true;
-        let until = request.sent + self.parameters.grant_lifetime;
+        let until = request.sent_at + self.parameters.grant_lifetime;
         self.leases.retain(|lease| now < lease.until && lease.amount >= ONE_CALL);
         let usable = now < until && self.leases.len() < MAX_QUOTA_LEASES;
         if usable {
--- a/crates/ledger/src/issued.rs
+++ b/crates/ledger/src/issued.rs
@@ -1,62 +1,65 @@
-//! What has been issued of a budget in all, as a grow-only counter (a G-counter): one part for each issuer, merged by
-//! maximum. A report that arrives twice, late or by another way adds nothing, and what the loser of a claim has issued
-//! is not lost.
+//! Total amount issued from a budget, as a grow-only counter (G-Counter CRDT) with one total per issuer, merged by
+//! maximum. Duplicated, late or indirectly received reports change nothing, and the amount issued by an allocator that
+//! later lost its claim is still counted.
 
 use crate::Amount;
 use std::collections::BTreeMap;
 
-/// Issuers with a part of their own. Beyond, the oldest parts are folded into one sum that takes no more reports.
+/// Maximum number of issuers with a total of their own. The oldest totals beyond it are folded into one sum, which no
+/// longer accepts reports.
 const MAX_ISSUERS: usize = 256;
 
-/// Who issued: an allocator in one term of its lease. Ordered by term, then region, then process.
+/// An allocator during one term of its lease. Issuers are ordered by term, then region, then process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Issuer {
-    /// The term of the claim under which it issued.
+    /// The term of the claim under which the allocator issues grants.
     pub term: u64,
-    /// The number of its region.
+    /// The number of the allocator's region.
     pub region: u8,
-    /// Its process.
+    /// The incarnation of the allocator's process.
     pub incarnation: u64,
 }
 
-/// The grow-only counter of issued amounts.
+/// Grow-only counter of issued amounts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct IssuedCounter {
-    parts: BTreeMap<Issuer, Amount>,
-    folded: Amount,
+    totals: BTreeMap<Issuer, Amount>,
+    folded_total: Amount,
+    /// The latest issuer whose total was folded.
     folded_up_to: Option<Issuer>,
 }
 
 impl IssuedCounter {
-    /// Records the total that an issuer has reported. A lower total than known, or one of a folded issuer, changes nothing.
+    /// Records the total that an issuer has reported. A total below the recorded one, or from a folded issuer, changes
+    /// nothing.
     pub fn record(&mut self, issuer: Issuer, total: Amount) {
         if self.folded_up_to.is_some_and(|last| issuer <= last) {
             return;
         }
-        let part = self.parts.entry(issuer).or_default();
-        *part = (*part).max(total);
-        while self.parts.len() > MAX_ISSUERS {
-            let Some((oldest, amount)) = self.parts.pop_first() else { return };
-            self.folded += amount;
+        let recorded = self.totals.entry(issuer).or_default();
+        *recorded = (*recorded).max(total);
+        while self.totals.len() > MAX_ISSUERS {
+            let Some((oldest, amount)) = self.totals.pop_first() else { return };
+            self.folded_total += amount;
             self.folded_up_to = Some(oldest);
         }
     }
 
-    /// Records all parts of another counter.
+    /// Merges the totals of another counter into this one.
     pub fn merge(&mut self, other: &IssuedCounter) {
-        for (issuer, total) in &other.parts {
+        for (issuer, total) in &other.totals {
             self.record(*issuer, *total);
         }
     }
 
     /// The sum over all issuers.
     pub fn total(&self) -> Amount {
-        self.folded + self.parts.values().copied().sum()
+        self.folded_total + self.totals.values().copied().sum()
     }
 
-    /// The parts of the latest issuers, `count` at most, to be reported to others.
+    /// The totals of the latest issuers, at most `count`, for reports to other processes.
     pub fn latest(&self, count: usize) -> impl Iterator<Item = (Issuer, Amount)> + '_ {
-        self.parts.iter().rev().take(count).map(|(issuer, amount)| (*issuer, *amount))
+        self.totals.iter().rev().take(count).map(|(issuer, amount)| (*issuer, *amount))
     }
 }
 
--- a/crates/ledger/src/token_bucket.rs
+++ b/crates/ledger/src/token_bucket.rs
@@ -1,4 +1,4 @@
-//! Token buckets in whole numbers: what is rounded is rounded down.
+//! Token bucket in integer arithmetic that always rounds down.
 
 use crate::{Amount, MICROS_PER_SECOND, Micros};
 
@@ -6,50 +6,51 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct TokenBucket {
     capacity: Amount,
-    /// In amounts times microseconds: an amount per second over a number of microseconds.
+    /// In the unit of [`amount_micros`].
     level: u128,
-    at: Micros,
+    refilled_until: Micros,
 }
 
 impl TokenBucket {
-    /// An empty bucket that holds `capacity` at most.
+    /// Creates an empty bucket that holds at most `capacity`.
     pub fn new(capacity: Amount, now: Micros) -> TokenBucket {
-        TokenBucket { capacity, level: 0, at: now }
+        TokenBucket { capacity, level: 0, refilled_until: now }
     }
 
-    /// Adds what `rate`, an amount per second, yields until `now`. A time before the last refill adds nothing.
+    /// Refills the bucket at `rate`, an amount per second, up to `now`. A time before the last refill adds nothing.
     pub fn refill(&mut self, now: Micros, rate: Amount) {
-        self.add(rate_over(rate, now.saturating_sub(self.at)));
-        self.at = self.at.max(now);
+        self.add(amount_micros(rate, now.saturating_sub(self.refilled_until)));
+        self.refilled_until = self.refilled_until.max(now);
     }
 
-    /// Adds an amount in the unit of [`rate_over`]. What exceeds the capacity is lost.
-    pub(crate) fn add(&mut self, amount_micros: u128) {
-        self.level = (self.level + amount_micros).min(rate_over(self.capacity, MICROS_PER_SECOND));
+    /// Adds an amount in the unit of [`amount_micros`]. The excess over the capacity is discarded.
+    pub(crate) fn add(&mut self, added: u128) {
+        self.level = (self.level + added).min(amount_micros(self.capacity, MICROS_PER_SECOND));
     }
 
     /// The time up to which the bucket has been refilled.
     pub fn refilled_until(&self) -> Micros {
-        self.at
+        self.refilled_until
     }
 
-    /// What can be taken now, rounded down.
+    /// The available amount, rounded down.
     pub fn level(&self) -> Amount {
         Amount::from_thousandths((self.level / u128::from(MICROS_PER_SECOND)) as u64)
     }
 
-    /// Takes the whole amount and returns true, or takes nothing and returns false.
+    /// Takes the full amount and returns true, or takes nothing and returns false if less is available.
     pub fn take(&mut self, amount: Amount) -> bool {
-        let needed = rate_over(amount, MICROS_PER_SECOND);
-        let enough = needed <= self.level;
-        if enough {
-            self.level -= needed;
+        let required = amount_micros(amount, MICROS_PER_SECOND);
+        let sufficient = required <= self.level;
+        if sufficient {
+            self.level -= required;
         }
-        enough
+        sufficient
     }
 }
 
-/// What a rate, an amount per second, yields over a span, in amounts times microseconds.
-pub(crate) fn rate_over(rate: Amount, span: Micros) -> u128 {
-    u128::from(rate.thousandths()) * u128::from(span)
+/// The yield of a rate (an amount per second) over a duration, in millionths of a thousandth of a call and therefore
+/// without rounding.
+pub(crate) fn amount_micros(rate: Amount, duration: Micros) -> u128 {
+    u128::from(rate.thousandths()) * u128::from(duration)
 }
