--- a/crates/popularity/src/aggregator.rs
+++ b/crates/popularity/src/aggregator.rs
@@ -1,38 +1,38 @@
-//! The counts of a region, summed up at the lease holder of a slice: a Space-Saving table with stated errors.
+//! Aggregated request counts of a region, held by the lease holder of a slice in a Space-Saving table with stated errors.
 
 use crate::Interval;
 use crate::counter::{MAX_REPORTS, Report};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Counts are kept as multiples of this part of one request, so that halving loses little.
+/// Counts are kept in units of this fraction of a request, so that halving loses little precision.
 const UNITS_PER_REQUEST: u64 = 256;
-/// Entries at or below this many units are dropped when counts are halved.
-const MIN_UNITS: u64 = UNITS_PER_REQUEST / 8;
-/// A report counts for this many intervals after its own.
-const MAX_REPORT_AGE: Interval = 2;
-/// Halving as many times or more leaves at most one unit of any count.
+/// Entries at or below this count are dropped when counts are halved.
+const EVICTION_THRESHOLD_UNITS: u64 = UNITS_PER_REQUEST / 8;
+/// A report is accepted up to this many intervals after the interval it covers.
+const MAX_REPORT_AGE_INTERVALS: Interval = 2;
+/// After this many halvings at most one unit of any count remains, so further ones have no effect.
 const MAX_HALVINGS: u32 = 63;
 
-/// What became of a report.
+/// Outcome of receiving a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportOutcome {
-    /// All of it was counted.
+    /// All requests of the report were counted.
     Counted,
-    /// It had been counted before.
+    /// The report had already been counted.
     Duplicate,
-    /// It was not counted: its interval is too old or in the future, its number is not valid, or its gateway has been
-    /// restarted since.
+    /// The report was not counted, because its interval is too old or in the future, its number is invalid, or its gateway
+    /// has restarted since.
     Rejected,
-    /// A part of it exceeded what one gateway may count in an interval and was not counted.
+    /// The requests beyond the maximum of one gateway in an interval were not counted.
     Capped,
 }
 
-/// How often an object was requested in the region recently, as an estimate.
+/// Estimated number of recent requests for an object in the region.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Score {
     /// The hash of the object.
     pub key: u64,
-    /// The number of requests: not below the true sum of the received reports, and above it by `error` at most.
+    /// The estimated number of requests: at least the true sum of the received reports, and at most `error` above it.
     pub count: f64,
     /// The largest possible excess of `count`.
     pub error: f64,
@@ -43,18 +43,18 @@
 pub struct ReportSource {
     /// The gateway, by its number in the fleet.
     pub gateway: u16,
-    /// The process: each start of the gateway has a higher incarnation.
+    /// The incarnation of the process, which increases with each start of the gateway.
     pub incarnation: u64,
 }
 
 /// The parameters of an [`Aggregator`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AggregatorConfig {
-    /// The most objects with counts; at least 1.
+    /// The maximum number of objects with counts; at least 1.
     pub capacity: usize,
-    /// The most requests that one gateway may count in an interval.
+    /// The maximum number of requests that one gateway may count in an interval.
     pub max_per_gateway: u64,
-    /// Counts are halved each time this many intervals have passed; at least 1.
+    /// The number of intervals between halvings of the counts; at least 1.
     pub halving_period: Interval,
 }
 
@@ -65,16 +65,16 @@
     error: u64,
 }
 
-/// What was received of a gateway for one interval.
+/// The reports received from a gateway for one interval.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReceivedInterval {
-    /// One bit for each report, by its number.
+    /// A bit set of the numbers of the received reports.
     reports: u64,
-    /// The requests that were counted.
+    /// The number of requests that were counted.
     counted: u64,
 }
 
-/// What was received of one gateway.
+/// The recent reports received from one gateway.
 #[derive(Clone, Debug, Default)]
 struct GatewayRecord {
     incarnation: u64,
@@ -82,8 +82,8 @@
 }
 
 impl GatewayRecord {
-    /// Forgets which reports were received when the gateway has restarted, as the new process numbers them anew. What
-    /// was counted still counts: a restart gives no second allowance in an interval.
+    /// Clears the received report numbers after a restart of the gateway, because the new process numbers its reports from
+    /// 0 again. The number of counted requests is kept: a restart does not renew the allowance of an interval.
     fn update_incarnation(&mut self, incarnation: u64) {
         if incarnation > self.incarnation {
             self.incarnation = incarnation;
@@ -92,29 +92,29 @@
     }
 }
 
-/// Sums up the reports of a region's gateways, for a bounded number of objects.
+/// Adds up the reports of a region's gateways, for a bounded number of objects.
 #[derive(Clone, Debug)]
 pub struct Aggregator {
     config: AggregatorConfig,
     entries: BTreeMap<u64, Entry>,
-    /// Counts with their keys, the smallest first.
-    by_count: BTreeSet<(u64, u64)>,
+    /// Counts and keys, in ascending order.
+    keys_by_count: BTreeSet<(u64, u64)>,
     gateways: BTreeMap<u16, GatewayRecord>,
-    /// Up to which interval counts have been halved.
-    halved_at: Interval,
+    /// The interval up to which halvings have been applied.
+    last_halving: Interval,
 }
 
 impl Aggregator {
-    /// An aggregator without counts, in the interval `now`.
+    /// Creates an aggregator without counts in the interval `now`.
     pub fn new(config: AggregatorConfig, now: Interval) -> Aggregator {
         let AggregatorConfig { capacity, max_per_gateway, halving_period } = config;
         let (capacity, halving_period) = (capacity.max(1), halving_period.max(1));
         Aggregator {
             config: AggregatorConfig { capacity, max_per_gateway, halving_period },
             entries: BTreeMap::new(),
-            by_count: BTreeSet::new(),
+            keys_by_count: BTreeSet::new(),
             gateways: BTreeMap::new(),
-            halved_at: now,
+            last_halving: now,
         }
     }
 
@@ -128,36 +128,36 @@
         self.entries.is_empty()
     }
 
-    /// Halves the counts as often as is due in the interval `now`. Skipped intervals count too: a process that was
-    /// suspended resumes with old counts.
+    /// Applies all halvings that are due in the interval `now`. Skipped intervals are included, because a suspended process
+    /// resumes with outdated counts.
     pub fn age(&mut self, now: Interval) {
-        let halvings = now.saturating_sub(self.halved_at) / self.config.halving_period;
+        let halvings = now.saturating_sub(self.last_halving) / self.config.halving_period;
         if halvings == 0 {
             return;
         }
-        self.halved_at += halvings * self.config.halving_period;
+        self.last_halving += halvings * self.config.halving_period;
         self.halve(halvings.min(MAX_HALVINGS));
         for record in self.gateways.values_mut() {
-            record.intervals.retain(|interval, _| interval + MAX_REPORT_AGE >= now);
+            record.intervals.retain(|interval, _| interval + MAX_REPORT_AGE_INTERVALS >= now);
         }
         self.gateways.retain(|_, record| !record.intervals.is_empty());
     }
 
-    /// Halves all counts so many times. Counts and errors are rounded up, so that both bounds still hold.
+    /// Halves all counts the given number of times. Counts and errors are rounded up, so that both bounds still hold.
     fn halve(&mut self, times: u32) {
         let halved = |units: u64| units.div_ceil(1 << times);
         self.entries.retain(|_, entry| {
             *entry = Entry { count: halved(entry.count), error: halved(entry.error) };
-            entry.count > MIN_UNITS
+            entry.count > EVICTION_THRESHOLD_UNITS
         });
-        self.by_count = self.entries.iter().map(|(key, entry)| (entry.count, *key)).collect();
+        self.keys_by_count = self.entries.iter().map(|(key, entry)| (entry.count, *key)).collect();
     }
 
-    /// Counts a report, unless it was counted before. A late report of an earlier incarnation is only counted as long as
-    /// nothing of a later one was received.
+    /// Counts a report unless it was already counted. A late report from an earlier incarnation is counted only until the
+    /// first report from a later one is received.
     pub fn receive(&mut self, now: Interval, source: ReportSource, report: &Report) -> ReportOutcome {
         self.age(now);
-        let is_in_time = report.interval <= now && report.interval + MAX_REPORT_AGE >= now;
+        let is_in_time = report.interval <= now && report.interval + MAX_REPORT_AGE_INTERVALS >= now;
         if !is_in_time || usize::from(report.number) >= MAX_REPORTS {
             return ReportOutcome::Rejected;
         }
@@ -179,13 +179,13 @@
         outcome
     }
 
-    /// Adds the counts of a report, as far as the gateway's allowance for the interval reaches.
+    /// Adds the counts of a report, up to the remaining allowance of the gateway in the interval.
     fn add_counts(&mut self, received: &mut ReceivedInterval, report: &Report) -> ReportOutcome {
         let mut outcome = ReportOutcome::Counted;
         for entry in &report.counts {
-            let stated = u64::from(entry.count);
-            let count = stated.min(self.config.max_per_gateway.saturating_sub(received.counted));
-            if count < stated {
+            let reported = u64::from(entry.count);
+            let count = reported.min(self.config.max_per_gateway.saturating_sub(received.counted));
+            if count < reported {
                 outcome = ReportOutcome::Capped;
             }
             received.counted += count;
@@ -196,33 +196,33 @@
         outcome
     }
 
-    /// Adds units to a count. In a full table the object replaces the one with the smallest count, which becomes its
-    /// error (the Space-Saving algorithm).
+    /// Adds units to the count of an object. If the table is full, a new object replaces the one with the smallest count
+    /// and inherits that count as its error (Space-Saving algorithm).
     fn add(&mut self, key: u64, units: u64) {
         let entry = match self.entries.get(&key).copied() {
             Some(entry) => {
-                self.by_count.remove(&(entry.count, key));
+                self.keys_by_count.remove(&(entry.count, key));
                 Entry { count: entry.count + units, ..entry }
             }
             None if self.entries.len() < self.config.capacity => Entry { count: units, error: 0 },
             None => {
-                let Some((smallest, replaced)) = self.by_count.pop_first() else { return };
+                let Some((smallest, replaced)) = self.keys_by_count.pop_first() else { return };
                 self.entries.remove(&replaced);
                 Entry { count: smallest + units, error: smallest }
             }
         };
         self.entries.insert(key, entry);
-        self.by_count.insert((entry.count, key));
+        self.keys_by_count.insert((entry.count, key));
     }
 
-    /// The objects with the highest counts, `limit` at most, the highest first.
+    /// The objects with the highest counts in descending order, at most `limit`.
     pub fn top(&self, limit: usize) -> Vec<Score> {
         let requests = |units: u64| units as f64 / UNITS_PER_REQUEST as f64;
         let score = |(_, key): &(u64, u64)| {
             let entry = &self.entries[key];
             Score { key: *key, count: requests(entry.count), error: requests(entry.error) }
         };
-        self.by_count.iter().rev().take(limit).map(score).collect()
+        self.keys_by_count.iter().rev().take(limit).map(score).collect()
     }
 }
 
--- a/crates/popularity/src/aggregator/tests.rs
+++ b/crates/popularity/src/aggregator/tests.rs
@@ -1,4 +1,4 @@
-// The values are sums of few binary fractions, and exact.
+// The compared values are sums of a few binary fractions and therefore exact.
 #![allow(clippy::float_cmp)]
 
 use super::*;
@@ -18,27 +18,27 @@
 }
 
 #[test]
-fn report_duplicated_or_late_is_counted_once() {
+fn duplicated_report_is_counted_once_and_late_one_within_the_maximum_age() {
     let mut aggregator = aggregator(1_000, 100, 10);
     assert_eq!(aggregator.receive(10, source(1, 5), &report(10, 0, &[(7, 3)])), ReportOutcome::Counted);
     assert_eq!(aggregator.receive(10, source(1, 5), &report(10, 0, &[(7, 3)])), ReportOutcome::Duplicate);
     assert_eq!(
         aggregator.receive(12, source(1, 5), &report(10, 1, &[(7, 2)])),
         ReportOutcome::Counted,
-        "late, but in time"
+        "within the maximum age"
     );
     assert_eq!(aggregator.receive(13, source(1, 5), &report(10, 2, &[(7, 2)])), ReportOutcome::Rejected);
     assert_eq!(aggregator.receive(13, source(1, 5), &report(14, 0, &[(7, 2)])), ReportOutcome::Rejected);
     assert_eq!(
         aggregator.receive(13, source(1, 4), &report(13, 0, &[(7, 2)])),
         ReportOutcome::Rejected,
-        "of an earlier incarnation"
+        "from an earlier incarnation"
     );
     assert_eq!(aggregator.top(1), [Score { key: 7, count: 5.0, error: 0.0 }]);
 }
 
 #[test]
-fn nonsensical_report_is_capped_and_a_restart_gives_no_second_allowance() {
+fn excessive_report_is_capped_and_a_restart_does_not_renew_the_allowance() {
     let mut aggregator = aggregator(100, 100, 10);
     assert_eq!(
         aggregator.receive(10, source(1, 5), &report(10, 0, &[(7, 60_000), (8, 60_000)])),
@@ -46,12 +46,12 @@
     );
     assert_eq!(aggregator.receive(10, source(1, 6), &report(10, 0, &[(9, 60_000)])), ReportOutcome::Capped);
     assert_eq!(aggregator.receive(10, source(2, 1), &report(10, 0, &[(3, 40)])), ReportOutcome::Counted);
-    let all: f64 = aggregator.top(8).iter().map(|score| score.count).sum();
-    assert_eq!(all, 140.0);
+    let total: f64 = aggregator.top(8).iter().map(|score| score.count).sum();
+    assert_eq!(total, 140.0);
 }
 
 #[test]
-fn count_when_aged_is_rounded_up_and_dropped_near_zero() {
+fn aged_count_is_halved_and_dropped_near_zero() {
     let mut aggregator = aggregator(1_000, 10, 0);
     aggregator.receive(0, source(1, 1), &report(0, 0, &[(7, 5), (8, 1)]));
     aggregator.age(10);
--- a/crates/popularity/src/lib.rs
+++ b/crates/popularity/src/lib.rs
@@ -1,15 +1,18 @@
-//! How often a region requests each object, although each gateway sees only a few of the requests. No I/O, clock or
-//! threads: times are passed in.
+//! Estimates the popularity of each object in a region in which each gateway sees only a few of the requests. The crate
+//! does no I/O, reads no clock and starts no threads: times are passed in.
 //!
-//! Gateways count requests in [intervals](Interval) that have the same numbers everywhere ([`Counter`]), and report to the
-//! lease holder of a slice. That sums up each report once ([`Aggregator`]), halves old counts, and hands out the highest
-//! scores. A gateway uses these while they arrive, and returns to its own counts within two intervals when they do not
-//! ([`RegionScores`]). From the scores and sizes of objects and the capacities of caches follow the
-//! [thresholds](rank_thresholds) from which a copy is cached at each rank.
+//! Gateways count requests in [intervals](Interval) that have the same numbers everywhere ([`Counter`]) and report to the
+//! lease holder of a slice. The lease holder adds each report once ([`Aggregator`]), periodically halves the counts, and
+//! distributes the highest scores. A gateway uses these scores while they arrive, and returns to its own counts within
+//! two intervals after they stop ([`RegionScores`]). The scores and sizes of objects and the capacities of caches determine
+//! the [thresholds](rank_thresholds) at which a copy is cached at each rank.
 //!
-//! **Bounds.** A score is never below the true sum of the reports that were received, and above it by its stated error at
-//! most; the sum of all counts, divided by the capacity of the table, bounds each error. A gateway with nonsensical reports
-//! moves all scores together by what one gateway may count in an interval, and no more.
+//! # Bounds
+//!
+//! - A score is never below the true sum of the received reports, and exceeds it by at most its stated error.
+//! - Each error is at most the sum of all counts divided by the capacity of the table.
+//! - A gateway that sends invalid counts raises the sum of all scores by at most the number of requests that one gateway
+//!   may count in an interval.
 
 #![warn(missing_docs)]
 
--- a/crates/popularity/src/thresholds.rs
+++ b/crates/popularity/src/thresholds.rs
@@ -1,19 +1,19 @@
-//! The thresholds from which a copy is cached at each rank of a kind of cache: by the capacity of the cache, and by what a
-//! copy is worth for each byte that it takes.
+//! Thresholds at which a copy is cached at each rank of a kind of cache, determined by the capacity of the cache and the
+//! benefit of a copy per byte.
 
-/// An object, as it is requested.
+/// Popularity, size and benefit of an object.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ObjectStats {
-    /// Requests for it while a copy lasts.
+    /// The number of requests for the object during the lifetime of a copy.
     pub score: f64,
-    /// The size of a copy.
+    /// The size of a copy in bytes.
     pub bytes: f64,
-    /// What a request saves if a copy is cached, by the priority weights and costs of the settings.
+    /// The cost saved per request if a copy is cached, according to the configured priority weights and costs.
     pub saving: f64,
 }
 
 impl ObjectStats {
-    /// What a copy is worth for each byte.
+    /// The benefit of a copy per byte.
     pub fn density(&self) -> f64 {
         self.score * self.saving / self.size()
     }
@@ -23,36 +23,36 @@
     }
 }
 
-/// A kind of cache.
+/// Capacity of a kind of cache.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CacheCapacity {
-    /// The capacity of one cache.
+    /// The capacity of one cache in bytes.
     pub bytes: f64,
-    /// The share of all objects that the hash assigns to one cache.
+    /// The share of all objects that is assigned to one cache by hash.
     pub share: f64,
 }
 
-/// The rank at which a copy is cached: lower ranks are evicted first.
+/// Rank at which a copy is cached; lower ranks are evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CacheRank {
-    /// Passed on and not cached.
+    /// Delivered without being cached.
     Uncached,
     /// Evicted first.
     Low,
-    /// Evicted after the low rank.
+    /// Evicted after copies of the low rank.
     Middle,
     /// Evicted last.
     Top,
 }
 
-/// The densities from which a copy is cached at each rank, from the highest to the lowest.
+/// Minimum densities (benefit per byte) at which a copy is cached at each rank.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RankThresholds {
-    /// From this density on a copy has the top rank.
+    /// The minimum density of the top rank.
     pub top: f64,
-    /// From this density on a copy has at least the middle rank.
+    /// The minimum density of the middle rank.
     pub middle: f64,
-    /// From this density on a copy is cached.
+    /// The minimum density of the low rank; copies below it are not cached.
     pub low: f64,
 }
 
@@ -72,17 +72,18 @@
     }
 }
 
-/// Parts of a cache's capacity for copies of the top rank, for those of the top and middle ranks, and for all. The rest is
-/// for new objects, of which nobody knows yet what they are worth.
+/// Share of a cache's capacity for copies of the top rank.
 const TOP_SHARE: f64 = 0.5;
+/// Share of a cache's capacity for copies of the top and middle ranks.
 const TOP_AND_MIDDLE_SHARE: f64 = 0.75;
+/// Share of a cache's capacity for copies of all ranks. The remainder is for new objects, whose benefit is not yet known.
 const CACHED_SHARE: f64 = 0.9;
 
-/// The thresholds for each kind of cache, in the order of `caches`. Where all objects fit into the part of the top rank, all
-/// have that rank.
+/// Determines the thresholds for each kind of cache, in the order of `caches`. If all objects fit into the share of the
+/// top rank, all have that rank.
 pub fn rank_thresholds(objects: &[ObjectStats], caches: &[CacheCapacity]) -> Vec<RankThresholds> {
     let mut by_density = objects.to_vec();
-    by_density.sort_by(|one, other| other.density().total_cmp(&one.density()));
+    by_density.sort_by(|left, right| right.density().total_cmp(&left.density()));
     let thresholds = |cache: &CacheCapacity| RankThresholds {
         top: threshold(&by_density, cache, TOP_SHARE),
         middle: threshold(&by_density, cache, TOP_AND_MIDDLE_SHARE),
@@ -91,9 +92,9 @@
     caches.iter().map(thresholds).collect()
 }
 
-/// The lowest density at which all objects of at least that density fit into a part of a cache.
-fn threshold(by_density: &[ObjectStats], cache: &CacheCapacity, part: f64) -> f64 {
-    let available = cache.bytes * part;
+/// The lowest density for which all objects of at least that density fit into a share of a cache's capacity.
+fn threshold(by_density: &[ObjectStats], cache: &CacheCapacity, capacity_share: f64) -> f64 {
+    let available = cache.bytes * capacity_share;
     let mut used = 0.0;
     let first_excluded = by_density.iter().find(|object| {
         used += object.size() * cache.share;
