--- a/crates/ledger/src/allocator.rs
+++ b/crates/ledger/src/allocator.rs
@@ -58,8 +58,8 @@
     Outdated,
 }
 
-/// Grants amounts of a budget on behalf of one lease holder in one epoch. It starts empty, because the amounts granted by
-/// earlier allocators may still be spent.
+/// Grants amounts of a budget on behalf of one lease holder in one epoch. It starts empty, because the amounts granted
+/// by earlier allocators may still be spent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QuotaAllocator {
     parameters: QuotaParameters,
@@ -160,8 +160,9 @@
         RequestStatus::New
     }
 
-    /// A client's share of the available amount, in whole calls, since a fraction of a call could not be spent and would
-    /// expire. If fewer calls are available than clients request, calls are granted one each in the order of requests.
+    /// A client's share of the available amount, in whole calls, since a fraction of a call could not be spent and
+    /// would expire. If fewer calls are available than clients request, calls are granted one each in the order of
+    /// requests.
     fn fair_amount(&self, now: Micros, member: u16, want: Amount) -> Amount {
         let lifetime = self.parameters.grant_lifetime;
         let wanted_by_others: u128 = self
@@ -189,9 +190,9 @@
         Amount::from_thousandths(self.transferred_out_between(now, now + 1) as u64)
     }
 
-    /// Transfers a part of the rate to another region's allocator for `duration` of this clock, and returns the rate that
-    /// was transferred. Earlier transfers to the same allocator remain in force until they end, and the recent demand of
-    /// this region's own clients is withheld.
+    /// Transfers a part of the rate to another region's allocator for `duration` of this clock, and returns the rate
+    /// that was transferred. Earlier transfers to the same allocator remain in force until they end, and the recent
+    /// demand of this region's own clients is withheld.
     pub fn transfer_out(&mut self, now: Micros, to: Counterparty, want: Amount, duration: Micros) -> Amount {
         self.refill(now);
         let own_demand = self.demand(now);
@@ -206,8 +207,9 @@
         rate
     }
 
-    /// Records a rate that another region's allocator has transferred, which replaces the previous transfer from the same
-    /// counterparty. `until` is measured from the time of the request, so that a delayed answer does not extend it.
+    /// Records a rate that another region's allocator has transferred, which replaces the previous transfer from the
+    /// same counterparty. `until` is measured from the time of the request, so that a delayed answer does not extend
+    /// it.
     pub fn transfer_in(&mut self, now: Micros, from: Counterparty, rate: Amount, until: Micros) {
         self.refill(now);
         self.transferred_in.retain(|transfer| transfer.counterparty != from);
--- a/crates/ledger/src/budget.rs
+++ b/crates/ledger/src/budget.rs
@@ -2,7 +2,7 @@
 
 use crate::{Amount, MICROS_PER_SECOND, Micros};
 
-/// The value of one in thousandths.
+/// One, expressed in thousandths.
 const PER_MILLE: u64 = 1_000;
 /// The largest overdraft for which the bound holds: once the budget.
 const MAX_OVERDRAFT_PER_MILLE: u64 = PER_MILLE;
--- a/crates/ledger/src/client.rs
+++ b/crates/ledger/src/client.rs
@@ -134,8 +134,8 @@
     }
 
     /// Pays for one call and returns the source, or `None` if neither a quota lease nor the reserve covers it. Quota
-    /// leases are spent before the reserve, because they expire. Leases whose authority is void according to `is_fenced`
-    /// are dropped.
+    /// leases are spent before the reserve, because they expire. Leases whose authority is void according to
+    /// `is_fenced` are dropped.
     pub fn spend(&mut self, now: Micros, is_fenced: impl Fn(&A) -> bool) -> Option<Payment<A>> {
         self.roll_demand(now);
         self.demand.current += ONE_CALL;
@@ -160,8 +160,8 @@
         self.leases.iter().filter(|lease| lease.until > time).map(|lease| lease.amount).sum()
     }
 
-    /// Creates a request if the leases will not cover the recent demand or the expected calls. Returns `None` if they will,
-    /// or if the latest request is too recent.
+    /// Creates a request if the leases will not cover the recent demand or the expected calls. Returns `None` if they
+    /// will, or if the latest request is too recent.
     pub fn request(&mut self, now: Micros) -> Option<GrantRequest> {
         self.roll_demand(now);
         let interval = self.parameters.grant_lifetime / REQUESTS_PER_LIFETIME;
@@ -181,8 +181,8 @@
         Some(GrantRequest { number: self.latest_request_number, want })
     }
 
-    /// Records a grant and returns whether it can be spent. Only the first answer to the latest request is accepted. The
-    /// lifetime starts when that request was sent, so that a delayed answer does not extend it.
+    /// Records a grant and returns whether it can be spent. Only the first answer to the latest request is accepted.
+    /// The lifetime starts when that request was sent, so that a delayed answer does not extend it.
     pub fn receive(&mut self, now: Micros, grant: Grant, authority: A) -> bool {
         let Some(request) = &mut self.latest_request else { return false };
         if request.answered || (self.incarnation, request.number) != (grant.to, grant.number) {
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -12,14 +12,14 @@
 //! Let `B` be the budget of a window `W`, `o` the overdraft, `F` the sum of all reserves, `d` the clock drift, and
 //! `X = o W / 5` the grant lifetime, measured by the client's clock from the time of the request.
 //!
-//! - Amounts spent within `W` were granted at most `X (1 + d)` earlier, so within a span of `W + X (1 + d)` of true time,
-//!   which is `(1 + d)` times as long on the allocator's clock.
+//! - Amounts spent within `W` were granted at most `X (1 + d)` earlier, so within a span of `W + X (1 + d)` of true
+//!   time, which is `(1 + d)` times as long on the allocator's clock.
 //! - An allocator starts empty, is refilled at `(B - F) / W` and holds at most `o B / 4`. Over any span, and across any
 //!   number of successive allocators, at most `o B / 4` plus `(B - F) / W` times the span is granted.
 //! - Each reserve starts empty, is refilled at its part of `F / W` and holds at most its part of `o B / 4`.
 //!
-//! The sum, which `F > 0` can only lower, is `B (o / 2 + (1 + o / 5 (1 + d)) (1 + d))`. This is at most `B (1 + o)` where
-//! `d <= o / 8` and `o <= 1`; [`Budget::parameters`] rejects all other values.
+//! The sum, which `F > 0` can only lower, is `B (o / 2 + (1 + o / 5 (1 + d)) (1 + d))`. This is at most `B (1 + o)`
+//! where `d <= o / 8` and `o <= 1`; [`Budget::parameters`] rejects all other values.
 
 #![warn(missing_docs)]
 
--- a/crates/ledger/tests/budget_bound.rs
+++ b/crates/ledger/tests/budget_bound.rs
@@ -249,8 +249,8 @@
         fleet.make_due_calls(now);
         fleet.expect_call(now, 2);
     }
-    // One of 4 gateways has a quarter of the reserves, which are a fiftieth of 200 calls per 10 s. That makes 6 calls in
-    // 60 s, less the thousandths that are rounded down.
+    // One of 4 gateways has a quarter of the reserves, which are a fiftieth of 200 calls per 10 s. That makes 6 calls
+    // in 60 s, less the thousandths that are rounded down.
     assert!(
         (4..=6).contains(&fleet.spending_times.len()),
         "{} calls were paid for, expected 4 to 6",
--- a/crates/popularity/src/aggregator.rs
+++ b/crates/popularity/src/aggregator.rs
@@ -1,4 +1,5 @@
-//! Aggregated request counts of a region, held by the lease holder of a slice in a Space-Saving table with stated errors.
+//! Aggregated request counts of a region, held by the lease holder of a slice in a Space-Saving table with stated
+//! errors.
 
 use crate::Interval;
 use crate::counter::{MAX_REPORTS, Report};
@@ -20,8 +21,8 @@
     Counted,
     /// The report had already been counted.
     Duplicate,
-    /// The report was not counted, because its interval is too old or in the future, its number is invalid, or its gateway
-    /// has restarted since.
+    /// The report was not counted, because its interval is too old or in the future, its number is invalid, or its
+    /// gateway has restarted since.
     Rejected,
     /// The requests beyond the maximum of one gateway in an interval were not counted.
     Capped,
@@ -82,8 +83,8 @@
 }
 
 impl GatewayRecord {
-    /// Clears the received report numbers after a restart of the gateway, because the new process numbers its reports from
-    /// 0 again. The number of counted requests is kept: a restart does not renew the allowance of an interval.
+    /// Clears the received report numbers after a restart of the gateway, because the new process numbers its reports
+    /// from 0 again. The number of counted requests is kept: a restart does not renew the allowance of an interval.
     fn update_incarnation(&mut self, incarnation: u64) {
         if incarnation > self.incarnation {
             self.incarnation = incarnation;
@@ -128,8 +129,8 @@
         self.entries.is_empty()
     }
 
-    /// Applies all halvings that are due in the interval `now`. Skipped intervals are included, because a suspended process
-    /// resumes with outdated counts.
+    /// Applies all halvings that are due in the interval `now`. Skipped intervals are included, because a suspended
+    /// process resumes with outdated counts.
     pub fn age(&mut self, now: Interval) {
         let halvings = now.saturating_sub(self.last_halving) / self.config.halving_period;
         if halvings == 0 {
@@ -153,8 +154,8 @@
         self.keys_by_count = self.entries.iter().map(|(key, entry)| (entry.count, *key)).collect();
     }
 
-    /// Counts a report unless it was already counted. A late report from an earlier incarnation is counted only until the
-    /// first report from a later one is received.
+    /// Counts a report unless it was already counted. A late report from an earlier incarnation is counted only until
+    /// the first report from a later one is received.
     pub fn receive(&mut self, now: Interval, source: ReportSource, report: &Report) -> ReportOutcome {
         self.age(now);
         let is_in_time = report.interval <= now && report.interval + MAX_REPORT_AGE_INTERVALS >= now;
@@ -196,8 +197,8 @@
         outcome
     }
 
-    /// Adds units to the count of an object. If the table is full, a new object replaces the one with the smallest count
-    /// and inherits that count as its error (Space-Saving algorithm).
+    /// Adds units to the count of an object. If the table is full, a new object replaces the one with the smallest
+    /// count and inherits that count as its error (Space-Saving algorithm).
     fn add(&mut self, key: u64, units: u64) {
         let entry = match self.entries.get(&key).copied() {
             Some(entry) => {
--- a/crates/popularity/src/counter.rs
+++ b/crates/popularity/src/counter.rs
@@ -53,8 +53,8 @@
         self.dropped
     }
 
-    /// Ends an interval and returns its reports. The highest counts come first, so that the loss of later reports matters
-    /// least.
+    /// Ends an interval and returns its reports. The highest counts come first, so that the loss of later reports
+    /// matters least.
     pub fn close(&mut self, interval: Interval) -> Vec<Report> {
         let counts = std::mem::take(&mut self.counts).into_iter();
         let mut counts: Vec<KeyCount> = counts.map(|(key, count)| KeyCount { key, count }).collect();
--- a/crates/popularity/src/thresholds.rs
+++ b/crates/popularity/src/thresholds.rs
@@ -1,5 +1,5 @@
-//! Thresholds at which a copy is cached at each rank of a kind of cache, determined by the capacity of the cache and the
-//! benefit of a copy per byte.
+//! Thresholds at which a copy is cached at each rank of a kind of cache, determined by the capacity of the cache and
+//! the benefit of a copy per byte.
 
 /// Popularity, size and benefit of an object.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -76,7 +76,8 @@
 const TOP_SHARE: f64 = 0.5;
 /// Share of a cache's capacity for copies of the top and middle ranks.
 const TOP_AND_MIDDLE_SHARE: f64 = 0.75;
-/// Share of a cache's capacity for copies of all ranks. The remainder is for new objects, whose benefit is not yet known.
+/// Share of a cache's capacity for copies of all ranks. The remainder is for new objects, whose benefit is not yet
+/// known.
 const CACHED_SHARE: f64 = 0.9;
 
 /// Determines the thresholds for each kind of cache, in the order of `caches`. If all objects fit into the share of the
