--- a/crates/homes/src/fences.rs
+++ b/crates/homes/src/fences.rs
@@ -1,38 +1,38 @@
-//! The highest claim known for each slice. A lower one is fenced: what carries it counts no more.
+//! The fence table: the highest claim known for each slice. Lower claims are fenced: anything issued under them is rejected.
 //!
-//! The table is a maximum that only rises, so messages may be lost, late, duplicated or in any order, and an old one
-//! can't lift a fence.
+//! The entry of a slice only ever increases. Messages may therefore be lost, delayed, duplicated or reordered, and an old
+//! message can't lift a fence.
 
 use crate::claim::compare;
 use crate::{Claim, MAX_ADVANCE, Micros, Region, Slice};
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// The highest claim known for a slice.
+/// The highest known claim on a slice, with its status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct HighestClaim {
     /// The claim.
     pub claim: Claim,
-    /// When the claimant last confirmed it, as far as is known; `None`: it has been released.
+    /// When the claimant last confirmed the claim, as far as is known; `None` if the claim has been released.
     pub last_confirmed: Option<Micros>,
-    /// When it was first received.
-    pub since: Micros,
+    /// When the claim was first recorded, or its release if that came later.
+    pub recorded_at: Micros,
 }
 
-/// What a claim changed in the table.
+/// The effect of a received claim on the fence table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimEffect {
-    /// It is the highest now; the one before, if any, is fenced.
+    /// The claim is the highest now. The previous one, if any, is fenced.
     Raised(Option<HighestClaim>),
-    /// It was the highest already.
+    /// The claim was the highest already.
     Same,
-    /// It has lost.
+    /// The claim is lower than the highest known one, and fenced.
     Lower,
-    /// It can't be valid: no such slice or region, or a term that nobody can have reached.
+    /// The claim was rejected: its slice or region is unknown, or its term is more than [`MAX_ADVANCE`] ahead.
     Invalid,
 }
 
-/// The highest claim known for each slice.
+/// The highest known claim on each slice.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct FenceTable {
     pub(crate) regions: Vec<Region>,
@@ -41,21 +41,21 @@
 }
 
 impl FenceTable {
-    /// A table that knows no claim.
+    /// Creates an empty table. `regions` are all regions of the fleet, `slices` is the number of slices.
     pub fn new(regions: Vec<Region>, slices: u16) -> FenceTable {
         FenceTable { regions, slices, fences: BTreeMap::new() }
     }
 
-    /// The highest claim known for a slice.
+    /// The highest known claim on a slice.
     pub fn get(&self, slice: Slice) -> Option<HighestClaim> {
         self.fences.get(&slice).copied()
     }
 
-    /// Whether a higher claim is known, so that what carries this one counts no more.
-    pub fn fenced(&self, slice: Slice, claim: &Claim) -> bool {
-        let higher =
+    /// Whether a higher claim is known, so that anything issued under this one must be rejected.
+    pub fn is_fenced(&self, slice: Slice, claim: &Claim) -> bool {
+        let is_higher =
             |highest: &HighestClaim| compare(slice, claim, &highest.claim, &self.regions) == Ordering::Less;
-        self.fences.get(&slice).is_some_and(higher)
+        self.fences.get(&slice).is_some_and(is_higher)
     }
 
     fn is_valid(&self, slice: Slice, claim: &Claim) -> bool {
@@ -63,7 +63,7 @@
         slice.0 < self.slices && self.regions.contains(&claim.region) && claim.term <= term + MAX_ADVANCE
     }
 
-    /// Takes a claim in that was last confirmed at a time, or has been released.
+    /// Records a claim. `last_confirmed` is when its claimant last confirmed it; `None` if the claim has been released.
     pub fn receive(
         &mut self,
         now: Micros,
@@ -75,22 +75,22 @@
             return ClaimEffect::Invalid;
         }
         let Some(highest) = self.fences.get_mut(&slice) else {
-            self.fences.insert(slice, HighestClaim { claim, last_confirmed, since: now });
+            self.fences.insert(slice, HighestClaim { claim, last_confirmed, recorded_at: now });
             return ClaimEffect::Raised(None);
         };
         match compare(slice, &claim, &highest.claim, &self.regions) {
             Ordering::Less => ClaimEffect::Lower,
             Ordering::Equal => {
-                // Once released it stays so, whatever arrives late.
+                // A released claim stays released: a confirmation may arrive after the release.
                 if highest.last_confirmed.is_some() && last_confirmed.is_none() {
-                    highest.since = now;
+                    highest.recorded_at = now;
                 }
                 highest.last_confirmed =
-                    highest.last_confirmed.zip(last_confirmed).map(|(one, other)| one.max(other));
+                    highest.last_confirmed.zip(last_confirmed).map(|(known, received)| known.max(received));
                 ClaimEffect::Same
             }
             Ordering::Greater => {
-                let raised = HighestClaim { claim, last_confirmed, since: now };
+                let raised = HighestClaim { claim, last_confirmed, recorded_at: now };
                 ClaimEffect::Raised(Some(std::mem::replace(highest, raised)))
             }
         }
--- a/crates/homes/src/lease_holder/tests.rs
+++ b/crates/homes/src/lease_holder/tests.rs
@@ -1,33 +1,34 @@
 use super::*;
 use crate::Incarnation;
 
-const RULES: LeaseConfig = LeaseConfig { slices: 4, lease: 3_000, drift: 10 };
+const CONFIG: LeaseConfig = LeaseConfig { slices: 4, lease_duration: 3_000, drift_per_mille: 10 };
 
 fn process(member: u16) -> ProcessId {
     ProcessId { member: Member(member), incarnation: Incarnation(1) }
 }
 
-fn holder(me: u16, lists: &[&[u16]]) -> LeaseHolder {
-    let lists = lists.iter().map(|list| list.iter().map(|one| Member(*one)).collect()).collect();
-    LeaseHolder::new(RULES, process(me), lists, 0, Epoch(0))
+fn holder(member: u16, voter_lists: &[&[u16]]) -> LeaseHolder {
+    let voter_lists =
+        voter_lists.iter().map(|list| list.iter().map(|voter| Member(*voter)).collect()).collect();
+    LeaseHolder::new(CONFIG, process(member), voter_lists, 0, Epoch(0))
 }
 
-/// Leases held after requests for all slices at 10,000 that these voters granted.
-fn leases_granted_by(me: u16, lists: &[&[u16]], by: &[u16]) -> usize {
-    let (mut holder, mut out) = (holder(me, lists), Outgoing::new());
-    holder.tick(10_000, 0.5, &mut out);
+/// Requests all slices at 10,000 and delivers grants from `granting_voters`. Returns the number of leases held.
+fn leases_granted_by(member: u16, voter_lists: &[&[u16]], granting_voters: &[u16]) -> usize {
+    let (mut holder, mut outgoing) = (holder(member, voter_lists), Outgoing::new());
+    holder.tick(10_000, 0.5, &mut outgoing);
     let Some(LeaseMessage::Request { round, epoch, slices }) =
-        out.first().map(|envelope| envelope.message.clone())
+        outgoing.first().map(|envelope| envelope.message.clone())
     else {
-        panic!("{out:?}")
+        panic!("{outgoing:?}")
     };
-    for voter in by {
+    for voter in granting_voters {
         let granted = LeaseMessage::Granted { to: Incarnation(1), round, epoch, slices: slices.clone() };
-        holder.receive(10_100, process(*voter), &granted, &mut out);
+        holder.receive(10_100, process(*voter), &granted, &mut outgoing);
     }
     assert!(
-        RULES.all_slices().all(|slice| holder.held_epoch(13_000, slice).is_none()),
-        "counted from the request"
+        CONFIG.all_slices().all(|slice| holder.held_epoch(13_000, slice).is_none()),
+        "the lease must be counted from the request"
     );
     holder.held_leases(12_999).count()
 }
@@ -36,52 +37,54 @@
 fn lease_needs_a_majority_of_each_voter_list() {
     assert_eq!(leases_granted_by(0, &[&[0, 1, 2]], &[]), 0);
     assert_eq!(leases_granted_by(0, &[&[0, 1, 2]], &[1]), 4);
-    assert_eq!(leases_granted_by(0, &[&[0, 1, 2, 3]], &[1]), 0, "two of four are no majority");
+    assert_eq!(leases_granted_by(0, &[&[0, 1, 2, 3]], &[1]), 0, "two of four voters are not a majority");
     assert_eq!(
         leases_granted_by(0, &[&[0, 1, 2], &[0, 1, 2, 3, 4]], &[1]),
         0,
-        "both lists count while they change"
+        "a majority of each list is required while the lists change"
     );
     assert_eq!(leases_granted_by(0, &[&[0, 1, 2], &[0, 1, 2, 3, 4]], &[1, 3]), 4);
     assert_eq!(
         leases_granted_by(9, &[&[0, 1, 2]], &[1, 1, 1]),
         0,
-        "a voter counts once, and other members not at all"
+        "a voter counts once, and a member that is not a voter does not count"
     );
 }
 
 #[test]
-fn vote_of_an_older_round_extends_no_lease() {
-    let (mut holder, mut out) = (holder(0, &[&[0, 1, 2]]), Outgoing::new());
-    holder.tick(10_000, 0.5, &mut out);
-    let first = out.remove(0).message;
+fn vote_from_an_older_round_does_not_extend_the_lease() {
+    let (mut holder, mut outgoing) = (holder(0, &[&[0, 1, 2]]), Outgoing::new());
+    holder.tick(10_000, 0.5, &mut outgoing);
+    let first = outgoing.remove(0).message;
     let LeaseMessage::Request { round, epoch, slices } = first else { panic!() };
     let granted = LeaseMessage::Granted { to: Incarnation(1), round, epoch, slices };
-    holder.receive(10_100, process(1), &granted, &mut out);
-    holder.tick(11_000, 0.5, &mut out);
-    holder.receive(11_100, process(1), &granted, &mut out);
+    holder.receive(10_100, process(1), &granted, &mut outgoing);
+    holder.tick(11_000, 0.5, &mut outgoing);
+    holder.receive(11_100, process(1), &granted, &mut outgoing);
     assert_eq!((holder.held_leases(12_999).count(), holder.held_leases(13_000).count()), (4, 0));
 }
 
 #[test]
-fn vote_for_an_earlier_process_grants_nothing() {
-    let (mut holder, mut out) = (holder(0, &[&[0, 1, 2]]), Outgoing::new());
-    holder.tick(10_000, 0.5, &mut out);
-    let LeaseMessage::Request { round, epoch, slices } = out.remove(0).message else { panic!() };
+fn vote_for_the_previous_process_grants_no_lease() {
+    let (mut holder, mut outgoing) = (holder(0, &[&[0, 1, 2]]), Outgoing::new());
+    holder.tick(10_000, 0.5, &mut outgoing);
+    let LeaseMessage::Request { round, epoch, slices } = outgoing.remove(0).message else { panic!() };
     let granted = LeaseMessage::Granted { to: Incarnation(7), round, epoch, slices };
-    assert_eq!(holder.receive(10_100, process(1), &granted, &mut out), []);
+    assert_eq!(holder.receive(10_100, process(1), &granted, &mut outgoing), []);
 }
 
 #[test]
-fn lease_on_a_moved_slice_is_released_at_once() {
-    let (mut holder, mut out) = (holder(0, &[&[0]]), Outgoing::new());
-    holder.tick(10_000, 0.5, &mut out);
+fn lease_on_a_moved_slice_is_lost_at_once() {
+    let (mut holder, mut outgoing) = (holder(0, &[&[0]]), Outgoing::new());
+    holder.tick(10_000, 0.5, &mut outgoing);
     assert_eq!(holder.held_leases(10_000).count(), 4);
     holder.set_alive_members([Member(1), Member(2)].into());
-    let lost = holder.tick(10_001, 0.5, &mut out);
+    let lost = holder.tick(10_001, 0.5, &mut outgoing);
     assert!(
         !lost.is_empty()
-            && lost.iter().all(|it| matches!(it, LeaseChange::Lost { reason: LossReason::Moved, .. }))
+            && lost
+                .iter()
+                .all(|change| matches!(change, LeaseChange::Lost { reason: LossReason::Moved, .. }))
     );
     assert_eq!(holder.held_leases(10_001).count() + lost.len(), 4);
 }
--- a/crates/homes/src/message.rs
+++ b/crates/homes/src/message.rs
@@ -1,17 +1,17 @@
-//! Messages between members. Each fits a datagram of 256 bytes. They are encoded by the order of their fields and
-//! variants, which therefore stays.
+//! Messages between members. Each fits a datagram of 256 bytes. The encoding depends on the order of fields and variants,
+//! which must not change.
 
 use crate::{Claim, Epoch, Incarnation, Member, Slice};
 use serde::{Deserialize, Serialize};
 
-/// Slices in one message at most, at two bytes each.
+/// Maximum number of slices in one message, at two bytes each.
 pub const MAX_SLICES: usize = 80;
-/// Slices with their epochs in one message, at most.
+/// Maximum number of denied slices in one message, each with its latest epoch.
 pub const MAX_DENIALS: usize = 16;
-/// Claims in one message at most, at some 26 bytes each.
+/// Maximum number of claims in one message, at about 26 bytes each.
 pub const MAX_CLAIMS: usize = 7;
 
-/// The latest epoch that a voter knows of a slice.
+/// The latest epoch of a slice that a voter knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct KnownEpoch {
     /// The slice.
@@ -20,37 +20,37 @@
     pub epoch: Epoch,
 }
 
-/// Between a lease holder and the voters of its region.
+/// A message between a lease holder and a voter of its region.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum LeaseMessage {
     /// Requests leases, or their renewal.
     Request {
-        /// Numbers the requester's rounds of requests.
+        /// The number of the requester's round of requests.
         round: u32,
         /// The epoch of the leases.
         epoch: Epoch,
         /// The slices.
         slices: Vec<Slice>,
     },
-    /// A vote for the requester.
+    /// Grants leases: a vote for the requester.
     Granted {
-        /// The incarnation that requested: the next process may have come to the same round and epoch.
+        /// The incarnation that sent the request: after a restart, the next process may reach the same round and epoch.
         to: Incarnation,
         /// The round of the request.
         round: u32,
         /// The epoch of the request.
         epoch: Epoch,
-        /// The slices that are granted.
+        /// The slices whose leases are granted.
         slices: Vec<Slice>,
     },
-    /// Another holder has the lease, or a later epoch is known.
+    /// Denies leases: another member holds them, or a later epoch is known.
     Denied {
         /// The round of the request.
         round: u32,
-        /// The slices that are denied.
+        /// The denied slices, with the latest epochs that the voter knows.
         known: Vec<KnownEpoch>,
     },
-    /// Leases that end early.
+    /// Releases leases before they expire.
     Released {
         /// The epoch of the leases.
         epoch: Epoch,
@@ -59,18 +59,18 @@
     },
 }
 
-/// What a lease holder reports to the lease holders of other regions: the highest claim that it knows of each slice.
+/// A report from a lease holder to the lease holders of other regions: the highest claim that it knows for each slice.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Claims(pub Vec<ClaimStatus>);
 
-/// A claim, and when it was last confirmed.
+/// A claim on a slice, and the time since its last confirmation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimStatus {
-    /// The slice that is claimed.
+    /// The claimed slice.
     pub slice: Slice,
     /// The claim.
     pub claim: Claim,
-    /// Milliseconds since the claimant last confirmed it, as far as is known; `None`: it has been released.
+    /// Milliseconds since the claimant last confirmed the claim, as far as is known; `None` if it has been released.
     pub age: Option<u32>,
 }
 
@@ -83,14 +83,14 @@
     pub message: LeaseMessage,
 }
 
-/// Messages that are to be sent.
+/// Messages to send.
 pub type Outgoing = Vec<Envelope>;
 
-/// One process of a member. A restart makes it another one.
+/// Identifies one process of a member. A restarted member has another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProcessId {
     /// The member.
     pub member: Member,
-    /// Its process.
+    /// The incarnation of the member's process.
     pub incarnation: Incarnation,
 }
--- a/crates/homes/src/region_claims.rs
+++ b/crates/homes/src/region_claims.rs
@@ -1,34 +1,35 @@
-//! A gateway's claims for its region.
+//! A gateway's claims on slices for its region.
 //!
-//! A lease holder claims a slice for its region once nobody is known to confirm another claim. Two regions that can't
-//! reach each other may both do so; [`compare`](crate::claim::compare) says which claim wins once either is received.
+//! A lease holder claims a slice for its region once no confirmed claim of another region is known. Two regions that can't
+//! reach each other may both claim the slice; [`compare`](crate::claim::compare) decides which claim wins once one of them
+//! receives the other's.
 
 use crate::fences::{ClaimEffect, FenceTable, HighestClaim};
 use crate::message::{ClaimStatus, Claims, MAX_CLAIMS};
 use crate::placement::rank;
-use crate::{Claim, Epoch, Incarnation, Micros, Region, Slice, heartbeat_of, placement};
+use crate::{Claim, Epoch, Incarnation, Micros, Region, Slice, heartbeat_interval, placement};
 use std::collections::BTreeMap;
 
-/// A region that is preferred for a slice must be heard for so many claim leases before the slice is handed back to it.
-const FAILBACK_LEASES: u64 = 5;
-/// A new claim is active after this part of a claim lease: by then a claim that another region makes at the same time has
-/// been received, if it can be.
-const ACTIVATION_DIVISOR: u64 = 4;
-/// Each rank waits this part of a claim lease longer.
-const RANK_DIVISOR: u64 = 2;
+/// How many claim leases a preferred region must be reachable for before a slice is released to it.
+const FAILBACK_CLAIM_LEASES: u64 = 5;
+/// A new claim becomes active after a claim lease divided by this number. By then a claim that another region made at the
+/// same time has been received, if the regions can reach each other.
+const ACTIVATION_DELAY_DIVISOR: u64 = 4;
+/// Each rank delays a claim by a claim lease divided by this number.
+const RANK_DELAY_DIVISOR: u64 = 2;
 const MICROS_PER_MILLISECOND: u64 = 1_000;
 
-/// What became of a claim.
+/// A claim transition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimChange {
-    /// This gateway claims a slice for its region.
+    /// This gateway claimed a slice for its region.
     Claimed {
         /// The slice.
         slice: Slice,
         /// The new claim.
         claim: Claim,
     },
-    /// This gateway's claim has lost against a higher one: nothing under it counts any more.
+    /// This gateway's claim lost to a higher one: anything issued under it is rejected from now on.
     Fenced {
         /// The slice.
         slice: Slice,
@@ -37,7 +38,7 @@
         /// The higher claim.
         won: Claim,
     },
-    /// Two regions confirm claims on a slice at one time.
+    /// Two regions confirmed claims on a slice at the same time.
     SplitBrain {
         /// The slice.
         slice: Slice,
@@ -46,7 +47,7 @@
         /// The higher claim.
         won: Claim,
     },
-    /// The claim was handed back, or this gateway no longer holds the lease on the slice.
+    /// The claim was released to a preferred region, or this gateway no longer holds the lease on the slice.
     Released {
         /// The slice.
         slice: Slice,
@@ -55,55 +56,56 @@
     },
 }
 
-/// What follows from a tick.
+/// The result of a tick.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ClaimTick {
-    /// To be sent to all other regions.
+    /// Messages to send to all other regions.
     pub broadcast: Vec<Claims>,
-    /// What became of claims.
+    /// Claim transitions.
     pub changes: Vec<ClaimChange>,
 }
 
-/// What follows from claims that were received.
+/// The result of received claims.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReceivedClaims {
-    /// To be sent back: claims that win against received ones.
+    /// The answer to the sender: claims that win against received ones.
     pub answer: Option<Claims>,
-    /// What became of claims.
+    /// Claim transitions.
     pub changes: Vec<ClaimChange>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct OwnClaim {
     claim: Claim,
+    /// When the claim becomes active.
     active_from: Micros,
-    since: Micros,
+    claimed_at: Micros,
 }
 
-/// How long another region has been heard without an interruption.
+/// The latest period of uninterrupted messages from another region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Reachability {
-    since: Micros,
-    last: Micros,
+    reachable_since: Micros,
+    last_received: Micros,
 }
 
-/// A gateway's claims for its region, on the slices whose leases it holds there.
+/// A gateway's claims for its region, on the slices whose leases it holds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RegionClaims {
     region: Region,
     incarnation: Incarnation,
-    /// A claim that has not been confirmed for so long is free to be followed by another.
+    /// How long a claim counts as confirmed. After that, another region may claim the slice.
     claim_lease: Micros,
     fences: FenceTable,
-    own: BTreeMap<Slice, OwnClaim>,
-    /// Since when this gateway holds the lease on a slice.
+    own_claims: BTreeMap<Slice, OwnClaim>,
+    /// When this gateway gained the lease on each slice.
     leased_since: BTreeMap<Slice, Micros>,
     reachability: BTreeMap<Region, Reachability>,
     last_broadcast: Micros,
 }
 
 impl RegionClaims {
-    /// No claims yet. `regions` are all regions of the fleet.
+    /// Creates a claimant without claims. `regions` are all regions of the fleet, `slices` is the number of slices.
     pub fn new(
         region: Region,
         regions: Vec<Region>,
@@ -116,59 +118,63 @@
             incarnation,
             claim_lease,
             fences: FenceTable::new(regions, slices),
-            own: BTreeMap::new(),
+            own_claims: BTreeMap::new(),
             leased_since: BTreeMap::new(),
             reachability: BTreeMap::new(),
             last_broadcast: 0,
         }
     }
 
-    /// The highest claims that this gateway knows.
+    /// The highest claims known to this gateway.
     pub fn fences(&self) -> &FenceTable {
         &self.fences
     }
 
-    /// When [`RegionClaims::tick`] must be called again at the latest.
+    /// The latest time for the next call of [`RegionClaims::tick`].
     pub fn next_deadline(&self) -> Micros {
-        self.last_broadcast + heartbeat_of(self.claim_lease)
+        self.last_broadcast + heartbeat_interval(self.claim_lease)
     }
 
-    /// The claim under which this gateway acts for a slice right now, where `epoch` is that of its own lease. A claim that
-    /// has lost is dropped as soon as the higher one is received.
+    /// This gateway's active claim on a slice, where `epoch` is that of its current lease. A claim that loses is dropped as
+    /// soon as the higher one is received.
     pub fn active_claim(&self, now: Micros, slice: Slice, epoch: Option<Epoch>) -> Option<Claim> {
-        let own = self.own.get(&slice)?;
+        let own = self.own_claims.get(&slice)?;
         (now >= own.active_from && Some(own.claim.epoch) == epoch).then_some(own.claim)
     }
 
-    /// From when on a slice may be claimed here.
-    fn earliest_claim(&self, slice: Slice, leased_since: Micros) -> Micros {
+    /// The earliest time at which this gateway may claim a slice.
+    fn earliest_claim_time(&self, slice: Slice, leased_since: Micros) -> Micros {
         let regions = &self.fences.regions;
-        let turn = u64::from(rank(slice, self.region, regions)) * self.claim_lease / RANK_DIVISOR;
+        let rank_delay = u64::from(rank(slice, self.region, regions)) * self.claim_lease / RANK_DELAY_DIVISOR;
         match self.fences.get(slice) {
-            // The region's own claim, of an earlier lease holder. What that has released is claimed in turn, as by others.
+            // A claim of an earlier lease holder of this region. A released claim is subject to the rank delay, as in other
+            // regions.
             Some(highest) if highest.claim.region == self.region && highest.last_confirmed.is_some() => {
                 leased_since
             }
-            Some(HighestClaim { last_confirmed: None, since, .. }) => since.max(leased_since) + turn,
-            Some(HighestClaim { last_confirmed: Some(at), .. }) => {
-                (at + self.claim_lease).max(leased_since) + turn
+            Some(HighestClaim { last_confirmed: None, recorded_at, .. }) => {
+                recorded_at.max(leased_since) + rank_delay
             }
-            // A lease holder that knows nothing yet listens first.
-            None if regions.len() > 1 => leased_since + self.claim_lease + turn,
+            Some(HighestClaim { last_confirmed: Some(last_confirmed), .. }) => {
+                (last_confirmed + self.claim_lease).max(leased_since) + rank_delay
+            }
+            // A lease holder that knows no claim yet first waits for claims of other regions.
+            None if regions.len() > 1 => leased_since + self.claim_lease + rank_delay,
             None => leased_since,
         }
     }
 
-    /// Does what is due. `leases` are the slices whose leases this gateway holds, with their epochs.
+    /// Performs all due work: claims slices, and releases and broadcasts claims. `leases` are the slices whose leases this
+    /// gateway holds, with the epochs of the leases.
     pub fn tick(&mut self, now: Micros, leases: &BTreeMap<Slice, Epoch>) -> ClaimTick {
         let mut statuses: Vec<ClaimStatus> = Vec::new();
-        let mut changes = self.drop_without_lease(leases);
+        let mut changes = self.drop_claims_without_lease(leases);
         self.leased_since.retain(|slice, _| leases.contains_key(slice));
         for (slice, epoch) in leases {
             let leased_since = *self.leased_since.entry(*slice).or_insert(now);
-            let change = if self.own.contains_key(slice) {
-                self.hand_back(now, *slice)
-            } else if now >= self.earliest_claim(*slice, leased_since) {
+            let change = if self.own_claims.contains_key(slice) {
+                self.fail_back(now, *slice)
+            } else if now >= self.earliest_claim_time(*slice, leased_since) {
                 Some(self.claim(now, *slice, *epoch))
             } else {
                 None
@@ -183,73 +189,77 @@
         }
         if now >= self.next_deadline() {
             self.last_broadcast = now;
-            // Other regions' claims are passed on too: two regions that can't reach each other may both reach a third.
+            // Includes other regions' claims: two regions that can't reach each other may both reach a third.
             statuses = leases.keys().filter_map(|slice| self.claim_status(now, *slice)).collect();
         }
-        let broadcast = statuses.chunks(MAX_CLAIMS).map(|part| Claims(part.to_vec())).collect();
+        let broadcast = statuses.chunks(MAX_CLAIMS).map(|chunk| Claims(chunk.to_vec())).collect();
         ClaimTick { broadcast, changes }
     }
 
-    fn drop_without_lease(&mut self, leases: &BTreeMap<Slice, Epoch>) -> Vec<ClaimChange> {
+    fn drop_claims_without_lease(&mut self, leases: &BTreeMap<Slice, Epoch>) -> Vec<ClaimChange> {
         let mut changes = Vec::new();
-        self.own.retain(|slice, own| {
-            let kept = leases.get(slice) == Some(&own.claim.epoch);
-            if !kept {
+        self.own_claims.retain(|slice, own| {
+            let has_lease = leases.get(slice) == Some(&own.claim.epoch);
+            if !has_lease {
                 changes.push(ClaimChange::Released { slice: *slice, claim: own.claim });
             }
-            kept
+            has_lease
         });
         changes
     }
 
-    /// Releases a claim where a preferred region is reachable again.
-    fn hand_back(&mut self, now: Micros, slice: Slice) -> Option<ClaimChange> {
-        let own = self.own.get(&slice)?;
-        let settled = now >= own.since + FAILBACK_LEASES * self.claim_lease;
-        if !settled || !self.preferred_region_returned(slice, now) {
+    /// Releases a claim if a preferred region is reachable again.
+    fn fail_back(&mut self, now: Micros, slice: Slice) -> Option<ClaimChange> {
+        let own = self.own_claims.get(&slice)?;
+        let held_long_enough = now >= own.claimed_at + FAILBACK_CLAIM_LEASES * self.claim_lease;
+        if !held_long_enough || !self.is_preferred_region_reachable(slice, now) {
             return None;
         }
         let claim = own.claim;
-        self.own.remove(&slice);
+        self.own_claims.remove(&slice);
         self.fences.receive(now, slice, claim, None);
         Some(ClaimChange::Released { slice, claim })
     }
 
-    /// Claims a slice under the lease of this epoch.
+    /// Claims a slice under a lease with the given epoch.
     fn claim(&mut self, now: Micros, slice: Slice, epoch: Epoch) -> ClaimChange {
         let highest = self.fences.get(slice);
-        let own_region = highest.is_some_and(|highest| highest.claim.region == self.region);
-        let handed_over = highest.is_some_and(|highest| own_region || highest.last_confirmed.is_none());
+        let is_own_region = highest.is_some_and(|highest| highest.claim.region == self.region);
+        let handed_over = highest.is_some_and(|highest| is_own_region || highest.last_confirmed.is_none());
         let term = highest.map_or(0, |highest| highest.claim.term);
         let (region, incarnation) = (self.region, self.incarnation);
-        let in_term = |term| Claim { term, region, epoch, incarnation, handed_over };
-        // A later lease holder of the same region needs no new term. Over another region's claim the rank does not decide:
-        // a claim that the other has confirmed before would be followed by one of the same term.
-        let same_term = own_region && !self.fences.fenced(slice, &in_term(term));
-        let claim = if same_term { in_term(term) } else { in_term(term + 1) };
+        let claim_in_term = |term| Claim { term, region, epoch, incarnation, handed_over };
+        // A later lease holder of the same region needs no new term. A claim after another region's always starts one, even
+        // if the better rank would win without it: otherwise a claim that the other region had confirmed would be followed
+        // by one of the same term.
+        let keeps_term = is_own_region && !self.fences.is_fenced(slice, &claim_in_term(term));
+        let claim = if keeps_term { claim_in_term(term) } else { claim_in_term(term + 1) };
         self.fences.receive(now, slice, claim, Some(now));
         let single_region = self.fences.regions.len() < 2;
-        let active_from = if single_region { now } else { now + self.claim_lease / ACTIVATION_DIVISOR };
-        self.own.insert(slice, OwnClaim { claim, active_from, since: now });
+        let active_from = if single_region { now } else { now + self.claim_lease / ACTIVATION_DELAY_DIVISOR };
+        self.own_claims.insert(slice, OwnClaim { claim, active_from, claimed_at: now });
         ClaimChange::Claimed { slice, claim }
     }
 
-    /// The highest claim on a slice as it is reported to others. An own claim is confirmed by that.
+    /// The status of the highest claim on a slice, for a report to other gateways. Reporting this gateway's own claim
+    /// confirms it.
     fn claim_status(&mut self, now: Micros, slice: Slice) -> Option<ClaimStatus> {
-        if let Some(own) = self.own.get(&slice) {
+        if let Some(own) = self.own_claims.get(&slice) {
             self.fences.receive(now, slice, own.claim, Some(now));
         }
         let HighestClaim { claim, last_confirmed, .. } = self.fences.get(slice)?;
-        let milliseconds = |at| (now.saturating_sub(at) / MICROS_PER_MILLISECOND).min(u64::from(u32::MAX));
-        Some(ClaimStatus { slice, claim, age: last_confirmed.map(|at| milliseconds(at) as u32) })
+        let age_milliseconds =
+            |time| (now.saturating_sub(time) / MICROS_PER_MILLISECOND).min(u64::from(u32::MAX));
+        Some(ClaimStatus { slice, claim, age: last_confirmed.map(|time| age_milliseconds(time) as u32) })
     }
 
-    /// Whether a region that is preferred to the own one for this slice has been heard for long.
-    fn preferred_region_returned(&self, slice: Slice, now: Micros) -> bool {
+    /// Whether a region that is preferred over this one for a slice has been reachable for [`FAILBACK_CLAIM_LEASES`].
+    fn is_preferred_region_reachable(&self, slice: Slice, now: Micros) -> bool {
         let order = placement::region_order(slice, &self.fences.regions);
         let preferred = order.iter().take_while(|region| **region != self.region);
-        preferred.filter_map(|region| self.reachability.get(region)).any(|heard| {
-            now < heard.last + self.claim_lease && now >= heard.since + FAILBACK_LEASES * self.claim_lease
+        preferred.filter_map(|region| self.reachability.get(region)).any(|reachability| {
+            now < reachability.last_received + self.claim_lease
+                && now >= reachability.reachable_since + FAILBACK_CLAIM_LEASES * self.claim_lease
         })
     }
 
@@ -257,37 +267,43 @@
         if region == self.region {
             return;
         }
-        let heard = self.reachability.entry(region).or_insert(Reachability { since: now, last: now });
-        if now >= heard.last + self.claim_lease {
-            heard.since = now;
+        let reachability = self
+            .reachability
+            .entry(region)
+            .or_insert(Reachability { reachable_since: now, last_received: now });
+        if now >= reachability.last_received + self.claim_lease {
+            reachability.reachable_since = now;
         }
-        heard.last = now;
+        reachability.last_received = now;
     }
 
-    /// Whether a claim that was last confirmed at this time counts as confirmed still.
+    /// Whether a claim that was last confirmed at `last_confirmed` still counts as confirmed.
     fn is_confirmed(&self, now: Micros, last_confirmed: Option<Micros>) -> bool {
-        last_confirmed.is_some_and(|at| now < at + self.claim_lease)
+        last_confirmed.is_some_and(|time| now < time + self.claim_lease)
     }
 
-    /// Takes claims in that a gateway of another region, or of the own one, reports.
+    /// Handles claims reported by a gateway of any region.
     pub fn receive(&mut self, now: Micros, from: Region, claims: &Claims) -> ReceivedClaims {
         self.record_reachable(now, from);
         let (mut answer, mut changes) = (Vec::new(), Vec::new());
         for status in claims.0.iter().take(MAX_CLAIMS) {
             let ClaimStatus { slice, claim, age } = *status;
             let age = age.map(|milliseconds| u64::from(milliseconds) * MICROS_PER_MILLISECOND);
-            let received =
-                HighestClaim { claim, last_confirmed: age.map(|age| now.saturating_sub(age)), since: now };
+            let received = HighestClaim {
+                claim,
+                last_confirmed: age.map(|age| now.saturating_sub(age)),
+                recorded_at: now,
+            };
             match self.fences.receive(now, slice, claim, received.last_confirmed) {
-                ClaimEffect::Raised(Some(before)) => {
-                    changes.extend(self.split_brain(now, slice, &before, &received));
-                    if let Some(own) = self.own.remove(&slice) {
+                ClaimEffect::Raised(Some(previous)) => {
+                    changes.extend(self.detect_split_brain(now, slice, &previous, &received));
+                    if let Some(own) = self.own_claims.remove(&slice) {
                         changes.push(ClaimChange::Fenced { slice, lost: own.claim, won: claim });
                     }
                 }
                 ClaimEffect::Lower => {
                     let Some(highest) = self.fences.get(slice) else { continue };
-                    changes.extend(self.split_brain(now, slice, &received, &highest));
+                    changes.extend(self.detect_split_brain(now, slice, &received, &highest));
                     answer.extend(self.claim_status(now, slice));
                 }
                 ClaimEffect::Raised(None) | ClaimEffect::Same | ClaimEffect::Invalid => {}
@@ -296,17 +312,21 @@
         ReceivedClaims { answer: (!answer.is_empty()).then_some(Claims(answer)), changes }
     }
 
-    /// Reports two claims of different regions that are both confirmed, unless the higher one was handed over.
-    fn split_brain(
+    /// Detects confirmed claims of two regions on the same slice, unless the higher one was handed over.
+    fn detect_split_brain(
         &self,
         now: Micros,
         slice: Slice,
         lost: &HighestClaim,
         won: &HighestClaim,
     ) -> Option<ClaimChange> {
-        let concurrent = lost.claim.region != won.claim.region && !won.claim.handed_over;
-        let both = [lost, won].iter().all(|claim| self.is_confirmed(now, claim.last_confirmed));
-        (concurrent && both).then_some(ClaimChange::SplitBrain { slice, lost: lost.claim, won: won.claim })
+        let are_concurrent = lost.claim.region != won.claim.region && !won.claim.handed_over;
+        let are_confirmed = [lost, won].iter().all(|claim| self.is_confirmed(now, claim.last_confirmed));
+        (are_concurrent && are_confirmed).then_some(ClaimChange::SplitBrain {
+            slice,
+            lost: lost.claim,
+            won: won.claim,
+        })
     }
 }
 
--- a/crates/homes/src/region_claims/tests.rs
+++ b/crates/homes/src/region_claims/tests.rs
@@ -1,33 +1,35 @@
 use super::*;
 use rstest::rstest;
 
-const LEASE: Micros = 3_000_000;
+const CLAIM_LEASE: Micros = 3_000_000;
 const SLICE: Slice = Slice(3);
 
 fn regions() -> Vec<Region> {
     (0..3).map(Region).collect()
 }
 
-fn by_rank(rank: usize) -> Region {
+fn region_with_rank(rank: usize) -> Region {
     placement::region_order(SLICE, &regions())[rank]
 }
 
 fn claim(term: u64, rank: usize, epoch: u64, incarnation: u64) -> Claim {
     Claim {
         term,
-        region: by_rank(rank),
+        region: region_with_rank(rank),
         epoch: Epoch(epoch),
         incarnation: Incarnation(incarnation),
         handed_over: false,
     }
 }
 
-/// A lease holder of the slice in a region, ticked until its claim is active.
-fn active_claimant(rank: usize, incarnation: u64, from: Micros) -> (RegionClaims, Claim, Micros) {
-    let mut region_claims = RegionClaims::new(by_rank(rank), regions(), 8, LEASE, Incarnation(incarnation));
+/// Ticks a lease holder in the region with this rank until its claim is active. Returns the holder, its claim and the
+/// time.
+fn active_claimant(rank: usize, incarnation: u64, start: Micros) -> (RegionClaims, Claim, Micros) {
+    let mut region_claims =
+        RegionClaims::new(region_with_rank(rank), regions(), 8, CLAIM_LEASE, Incarnation(incarnation));
     let leases = BTreeMap::from([(SLICE, Epoch(1))]);
     for step in 0..60 {
-        let now = from + step * LEASE / 12;
+        let now = start + step * CLAIM_LEASE / 12;
         region_claims.tick(now, &leases);
         if let Some(claim) = region_claims.active_claim(now, SLICE, Some(Epoch(1))) {
             return (region_claims, claim, now);
@@ -37,101 +39,110 @@
 }
 
 #[test]
-fn lower_claim_of_two_is_fenced_once_the_higher_is_received() {
+fn lower_claim_is_fenced_once_the_higher_one_is_received() {
     let (mut first, lost, _) = active_claimant(1, 1, 0);
     let (mut second, won, now) = active_claimant(0, 2, 0);
     let reported = |claim| Claims(vec![ClaimStatus { slice: SLICE, claim, age: Some(10) }]);
-    // The winner receives the lower claim, and answers; the loser acts no more.
-    let ReceivedClaims { answer, changes } = second.receive(now, by_rank(1), &reported(lost));
+    // The winner receives the lower claim and answers with its own. The loser then has no active claim.
+    let ReceivedClaims { answer, changes } = second.receive(now, region_with_rank(1), &reported(lost));
     assert_eq!(changes, [ClaimChange::SplitBrain { slice: SLICE, lost, won }]);
     assert_eq!(second.active_claim(now, SLICE, Some(Epoch(1))), Some(won));
-    let ReceivedClaims { changes, .. } = first.receive(now, by_rank(0), &answer.unwrap());
+    let ReceivedClaims { changes, .. } = first.receive(now, region_with_rank(0), &answer.unwrap());
     assert!(changes.contains(&ClaimChange::Fenced { slice: SLICE, lost, won }), "{changes:?}");
     assert_eq!(first.active_claim(now, SLICE, Some(Epoch(1))), None);
-    first.receive(now, by_rank(2), &reported(lost));
-    assert!(first.fences().fenced(SLICE, &lost), "an old message lifts no fence");
+    first.receive(now, region_with_rank(2), &reported(lost));
+    assert!(first.fences().is_fenced(SLICE, &lost), "an old message must not lift a fence");
 }
 
 #[test]
-fn claim_confirmed_through_a_third_region_prevents_another() {
-    let mut cut_off = RegionClaims::new(by_rank(1), regions(), 8, LEASE, Incarnation(1));
+fn claim_confirmed_through_a_third_region_prevents_a_new_claim() {
+    let mut partitioned = RegionClaims::new(region_with_rank(1), regions(), 8, CLAIM_LEASE, Incarnation(1));
     let leases = BTreeMap::from([(SLICE, Epoch(1))]);
     for step in 0..60 {
-        let now = step * LEASE / 3;
-        cut_off.receive(
+        let now = step * CLAIM_LEASE / 3;
+        partitioned.receive(
             now,
-            by_rank(2),
+            region_with_rank(2),
             &Claims(vec![ClaimStatus { slice: SLICE, claim: claim(1, 0, 1, 1), age: Some(400) }]),
         );
-        let ClaimTick { changes, .. } = cut_off.tick(now, &leases);
+        let ClaimTick { changes, .. } = partitioned.tick(now, &leases);
         assert_eq!(changes, []);
     }
 }
 
 #[test]
-fn later_lease_holder_of_the_region_claims_in_the_same_term() {
+fn later_lease_holder_of_the_same_region_keeps_the_term() {
     let (first, before, now) = active_claimant(0, 1, 0);
-    let mut second = RegionClaims::new(by_rank(0), regions(), 8, LEASE, Incarnation(2));
-    second.receive(now, by_rank(0), &Claims(vec![ClaimStatus { slice: SLICE, claim: before, age: Some(0) }]));
+    let mut second = RegionClaims::new(region_with_rank(0), regions(), 8, CLAIM_LEASE, Incarnation(2));
+    second.receive(
+        now,
+        region_with_rank(0),
+        &Claims(vec![ClaimStatus { slice: SLICE, claim: before, age: Some(0) }]),
+    );
     let ClaimTick { changes, .. } = second.tick(now, &BTreeMap::from([(SLICE, Epoch(2))]));
     let Some(ClaimChange::Claimed { claim: after, .. }) = changes.first() else { panic!("{changes:?}") };
     assert_eq!((after.term, after.epoch), (before.term, Epoch(2)));
-    assert!(second.fences().fenced(SLICE, &before) && first.active_claim(now, SLICE, None).is_none());
+    assert!(second.fences().is_fenced(SLICE, &before) && first.active_claim(now, SLICE, None).is_none());
 }
 
-/// What a lease holder of this rank claims, and after how long, if it has received this alone.
-fn claims_after(rank: usize, status: ClaimStatus) -> (Claim, Micros) {
-    let mut region_claims = RegionClaims::new(by_rank(rank), regions(), 8, LEASE, Incarnation(5));
-    let (leases, from) = (BTreeMap::from([(SLICE, Epoch(4))]), 100 * LEASE);
-    region_claims.receive(from, by_rank(2), &Claims(vec![status]));
-    for now in (from..from + 10 * LEASE).step_by(LEASE as usize / 12) {
+/// The first claim of a lease holder with this rank that has received only `status`, and the time until that claim.
+fn claim_after(rank: usize, status: ClaimStatus) -> (Claim, Micros) {
+    let mut region_claims =
+        RegionClaims::new(region_with_rank(rank), regions(), 8, CLAIM_LEASE, Incarnation(5));
+    let (leases, start) = (BTreeMap::from([(SLICE, Epoch(4))]), 100 * CLAIM_LEASE);
+    region_claims.receive(start, region_with_rank(2), &Claims(vec![status]));
+    for now in (start..start + 10 * CLAIM_LEASE).step_by(CLAIM_LEASE as usize / 12) {
         if let Some(ClaimChange::Claimed { claim, .. }) = region_claims.tick(now, &leases).changes.first() {
-            return (*claim, now - from);
+            return (*claim, now - start);
         }
     }
-    panic!("never");
+    panic!("no claim within ten claim leases");
 }
 
-/// Found by three regions of processes: the second in rank took what had been released for the first, and a better
-/// rank was a claim of the same term over one that was still confirmed.
+/// Guards against two faults: a region of the second rank claimed a slice that had been released to the first one, and a
+/// region with a better rank claimed in the same term as another region's claim that was still confirmed.
 #[rstest]
-#[case::given_up_for_the_first(0, None, 0)]
-#[case::and_not_for_the_second(1, None, LEASE / 2)]
-#[case::silent(0, Some(0), LEASE)]
-#[case::silent_by_rank(1, Some(0), LEASE * 3 / 2)]
-fn claim_after_another_regions_waits_for_its_rank_and_takes_a_later_term(
+#[case::released_and_first_rank(0, None, 0)]
+#[case::released_and_second_rank(1, None, CLAIM_LEASE / 2)]
+#[case::confirmation_expired_and_first_rank(0, Some(0), CLAIM_LEASE)]
+#[case::confirmation_expired_and_second_rank(1, Some(0), CLAIM_LEASE * 3 / 2)]
+fn claim_after_another_region_waits_for_its_rank_and_starts_a_new_term(
     #[case] rank: usize,
     #[case] age: Option<u32>,
-    #[case] after: Micros,
+    #[case] expected_delay: Micros,
 ) {
-    let before = claim(3, 2, 9, 9);
-    let (made, waited) = claims_after(rank, ClaimStatus { slice: SLICE, claim: before, age });
-    assert_eq!((made.term, made.handed_over, waited), (4, age.is_none(), after));
+    let previous = claim(3, 2, 9, 9);
+    let (claim, delay) = claim_after(rank, ClaimStatus { slice: SLICE, claim: previous, age });
+    assert_eq!((claim.term, claim.handed_over, delay), (4, age.is_none(), expected_delay));
 }
 
 #[test]
-fn claim_that_was_handed_over_is_no_split_brain() {
-    let mut third = RegionClaims::new(by_rank(2), regions(), 8, LEASE, Incarnation(5));
+fn claim_that_was_handed_over_is_not_reported_as_split_brain() {
+    let mut third = RegionClaims::new(region_with_rank(2), regions(), 8, CLAIM_LEASE, Incarnation(5));
     let (before, after) = (claim(3, 1, 9, 9), Claim { handed_over: true, ..claim(4, 0, 1, 1) });
     let reported = |claim| Claims(vec![ClaimStatus { slice: SLICE, claim, age: Some(0) }]);
-    third.receive(1, by_rank(1), &reported(before));
-    assert_eq!(third.receive(2, by_rank(0), &reported(after)).changes, []);
-    assert_eq!(third.receive(3, by_rank(1), &reported(before)).changes, [], "by a message that is late");
+    third.receive(1, region_with_rank(1), &reported(before));
+    assert_eq!(third.receive(2, region_with_rank(0), &reported(after)).changes, []);
+    assert_eq!(
+        third.receive(3, region_with_rank(1), &reported(before)).changes,
+        [],
+        "a late message must not report a split brain"
+    );
 }
 
 #[test]
-fn slice_is_handed_back_once_a_preferred_region_is_reachable_for_long() {
-    let (mut second, claim, from) = active_claimant(1, 1, 0);
+fn slice_is_released_once_a_preferred_region_has_been_reachable_for_long() {
+    let (mut second, claim, start) = active_claimant(1, 1, 0);
     let leases = BTreeMap::from([(SLICE, Epoch(1))]);
-    let left = (0..40).find(|step| {
-        let now = from + step * LEASE / 3;
-        second.receive(now, by_rank(0), &Claims(Vec::new()));
+    let released_at_step = (0..40).find(|step| {
+        let now = start + step * CLAIM_LEASE / 3;
+        second.receive(now, region_with_rank(0), &Claims(Vec::new()));
         second.tick(now, &leases).changes.contains(&ClaimChange::Released { slice: SLICE, claim })
     });
-    assert!((15..20).contains(&left.unwrap()), "{left:?}");
-    // It does not claim again at once what it has just handed back.
-    let now = from + left.unwrap() * LEASE / 3;
-    for later in (now..now + LEASE / 2).step_by(LEASE as usize / 12) {
-        assert_eq!(second.tick(later, &leases).changes, []);
+    assert!((15..20).contains(&released_at_step.unwrap()), "{released_at_step:?}");
+    // It must not claim the released slice again at once.
+    let released_at = start + released_at_step.unwrap() * CLAIM_LEASE / 3;
+    for now in (released_at..released_at + CLAIM_LEASE / 2).step_by(CLAIM_LEASE as usize / 12) {
+        assert_eq!(second.tick(now, &leases).changes, []);
     }
 }
--- a/crates/homes/src/voter.rs
+++ b/crates/homes/src/voter.rs
@@ -1,4 +1,5 @@
-//! A voter's promises: to whom it has granted each slice, and until when it grants the slice to nobody else.
+//! Voters. Each voter remembers its promises: the process to which it granted the lease on a slice, and the time until
+//! which it grants that lease to no other process.
 
 use crate::message::ProcessId;
 use crate::{Epoch, LeaseConfig, Micros, Slice};
@@ -8,7 +9,7 @@
 struct Promise {
     holder: ProcessId,
     epoch: Epoch,
-    until: Micros,
+    expires_at: Micros,
 }
 
 /// A voter's answer to a request for a lease.
@@ -16,36 +17,38 @@
 pub enum Vote {
     /// The voter grants the lease.
     Granted,
-    /// The voter denies it; the latest epoch that it knows.
+    /// The voter denies the lease, and reports the latest epoch that it knows.
     Denied(Epoch),
-    /// The voter may have granted something before it was restarted, and does not answer until that must have expired.
+    /// The voter does not answer yet: leases that it granted before a restart may not have expired.
     Abstained,
 }
 
-/// One voter of a region.
+/// A voter of a region.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
     config: LeaseConfig,
-    silent_until: Micros,
+    abstains_until: Micros,
     promises: BTreeMap<Slice, Promise>,
     epochs: BTreeMap<Slice, Epoch>,
     minimum_epoch: Epoch,
 }
 
 impl Voter {
-    /// A voter that has just started and whose memory is lost: what it granted before may last one more promise. Epochs
-    /// up to `minimum_epoch` may have been used: epochs must grow even if all members forget them.
+    /// Creates a voter that has just started and has lost its state. It abstains for the duration of one promise, as leases
+    /// that it granted before may last that long.
+    ///
+    /// Epochs up to `minimum_epoch` count as used, so that epochs increase even if all members have lost their state.
     pub fn new(config: LeaseConfig, now: Micros, minimum_epoch: Epoch) -> Voter {
-        let silent_until = now + config.promise();
-        Voter { config, silent_until, promises: BTreeMap::new(), epochs: BTreeMap::new(), minimum_epoch }
+        let abstains_until = now + config.promise_duration();
+        Voter { config, abstains_until, promises: BTreeMap::new(), epochs: BTreeMap::new(), minimum_epoch }
     }
 
-    /// The latest epoch known of a slice.
+    /// The latest known epoch of a slice.
     pub fn latest_epoch(&self, slice: Slice) -> Epoch {
         self.epochs.get(&slice).copied().unwrap_or(self.minimum_epoch)
     }
 
-    /// Records an epoch that another member has reported, if it can be valid.
+    /// Records an epoch reported by another member. An epoch that can't be valid is ignored.
     pub fn observe_epoch(&mut self, slice: Slice, epoch: Epoch) {
         let known = self.latest_epoch(slice);
         if slice.0 < self.config.slices && epoch > known && epoch.is_reachable_from(known) {
@@ -53,31 +56,32 @@
         }
     }
 
-    /// Answers a request of `holder` for the lease on a slice, or for its renewal.
+    /// Votes on a request from `holder` for the lease on a slice, or for its renewal.
     pub fn vote(&mut self, now: Micros, holder: ProcessId, slice: Slice, epoch: Epoch) -> Vote {
         let known = self.latest_epoch(slice);
         if slice.0 >= self.config.slices || !epoch.is_reachable_from(known) {
             return Vote::Denied(known);
         }
-        if now < self.silent_until {
+        if now < self.abstains_until {
             return Vote::Abstained;
         }
-        // A renewal keeps its epoch; all else needs one that nobody has had.
+        // A renewal keeps its epoch. A new lease needs an epoch that has not been used.
         let promise = self.promises.get(&slice).copied();
-        let renewed = promise.is_some_and(|promise| promise.holder == holder && promise.epoch == epoch);
-        let free = promise.is_none_or(|promise| promise.holder == holder || now >= promise.until);
-        // A voter that lost its memory has no promise of a lease that its holder renews: granting it again is safe, as
-        // nobody else can have been granted that epoch.
-        if renewed || (free && epoch > known) {
+        let is_renewal = promise.is_some_and(|promise| promise.holder == holder && promise.epoch == epoch);
+        let is_free = promise.is_none_or(|promise| promise.holder == holder || now >= promise.expires_at);
+        // A voter that has lost its state has no promise for a lease whose holder renews it. Granting the lease is safe, as
+        // no other process can have been granted that epoch.
+        if is_renewal || (is_free && epoch > known) {
             self.observe_epoch(slice, epoch);
-            let until = now + self.config.promise();
-            self.promises.insert(slice, Promise { holder, epoch, until });
+            let expires_at = now + self.config.promise_duration();
+            self.promises.insert(slice, Promise { holder, epoch, expires_at });
             return Vote::Granted;
         }
         Vote::Denied(known)
     }
 
-    /// Frees a slice whose lease ends early. An earlier lease, or one of another holder, frees nothing.
+    /// Ends the promise for a lease that its holder releases. The release of an earlier lease, or by another process, has
+    /// no effect.
     pub fn release(&mut self, holder: ProcessId, slice: Slice, epoch: Epoch) {
         let current = self.promises.get(&slice);
         if current.is_some_and(|promise| promise.holder == holder && promise.epoch == epoch) {
