--- a/crates/lab/src/cost_curves/leases.rs
+++ b/crates/lab/src/cost_curves/leases.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeSet;
 
 /// The defaults of `fleet` in the operators' file.
-pub const RULES: LeaseConfig = LeaseConfig { slices: 256, lease: 3_000_000, drift: 10 };
+pub const RULES: LeaseConfig = LeaseConfig { slices: 256, lease_duration: 3_000_000, drift_per_mille: 10 };
 /// Voters that operators name in a large region.
 const FEW_VOTERS: u64 = 5;
 const STEP: Micros = 10_000;
--- a/src/net/cluster/periodic.rs
+++ b/src/net/cluster/periodic.rs
@@ -56,8 +56,8 @@
     /// Reports a majority that is missing or back. Without one there are no lease holders, and each gateway spends its reserve
     /// only.
     fn watch_majority(&self, now: Micros, coordination: &mut Coordination, none_held: bool) {
-        let missing = none_held && coordination.holder.missing_leases(now) > 0;
-        let grace = MAJORITY_GRACE_PROMISES * self.lease_config.promise();
+        let missing = none_held && coordination.holder.missing_lease_count(now) > 0;
+        let grace = MAJORITY_GRACE_PROMISES * self.lease_config.promise_duration();
         match coordination.majority.update(now, missing, grace) {
             None => {}
             Some(MajorityChange::Lost) => {
--- a/src/net/cluster/rate_transfers.rs
+++ b/src/net/cluster/rate_transfers.rs
@@ -76,7 +76,7 @@
         let mut ledger = lock(&self.ledger);
         let account = &mut ledger[usize::from(request.budget)];
         account.record_receiver(&request.claim, request.issued);
-        let drift = PER_MILLE + u64::from(self.lease_config.drift);
+        let drift = PER_MILLE + u64::from(self.lease_config.drift_per_mille);
         let lifetime = account.parameters.grant_lifetime;
         let duration = (lifetime * drift * drift).div_ceil(PER_MILLE * PER_MILLE);
         let allocator = account.allocator(epoch, now);
--- a/src/net/cluster/spend.rs
+++ b/src/net/cluster/spend.rs
@@ -87,7 +87,7 @@
 
     fn is_valid(&self, payment: &RetryPayment) -> bool {
         let fences = self.fences.load();
-        let is_valid = payment.claim.is_none_or(|claim| !fences.fenced(payment.slice, &claim));
+        let is_valid = payment.claim.is_none_or(|claim| !fences.is_fenced(payment.slice, &claim));
         if !is_valid {
             self.counted.lost("fenced_attempts");
         }
--- a/src/net/cluster/start.rs
+++ b/src/net/cluster/start.rs
@@ -176,8 +176,8 @@
     fn lease_config(&self) -> LeaseConfig {
         LeaseConfig {
             slices: self.fleet.slices,
-            lease: self.fleet.lease * MICROS_PER_MILLISECOND,
-            drift: self.fleet.drift,
+            lease_duration: self.fleet.lease * MICROS_PER_MILLISECOND,
+            drift_per_mille: self.fleet.drift,
         }
     }
 
--- a/src/net/cluster/wire.rs
+++ b/src/net/cluster/wire.rs
@@ -104,7 +104,7 @@
 impl GrantAuthority {
     /// Whether a higher claim on the slice is known: the grant is void then.
     pub fn is_fenced(&self, fences: &FenceTable) -> bool {
-        self.claim.is_some_and(|claim| fences.fenced(self.slice, &claim))
+        self.claim.is_some_and(|claim| fences.is_fenced(self.slice, &claim))
     }
 }
 
