--- a/src/net/cluster/rate_transfers.rs
+++ b/src/net/cluster/rate_transfers.rs
@@ -75,7 +75,7 @@
         let mut ledger = lock(&self.ledger);
         let account = &mut ledger[usize::from(request.budget)];
         account.record_receiver_issued(&request.claim, request.issued);
-        let drift_factor_per_mille = PER_MILLE + u64::from(self.lease_config.drift);
+        let drift_factor_per_mille = PER_MILLE + u64::from(self.lease_config.drift_per_mille);
         let lifetime = account.parameters.grant_lifetime;
         let duration =
             (lifetime * drift_factor_per_mille * drift_factor_per_mille).div_ceil(PER_MILLE * PER_MILLE);
--- a/src/net/cluster/start.rs
+++ b/src/net/cluster/start.rs
@@ -182,8 +182,8 @@
     fn lease_config(&self) -> LeaseConfig {
         LeaseConfig {
             slices: self.fleet.slices,
-            lease: self.fleet.lease * MICROS_PER_MILLISECOND,
-            drift: self.fleet.drift,
+            lease_duration: self.fleet.lease * MICROS_PER_MILLISECOND,
+            drift_per_mille: self.fleet.drift,
         }
     }
 
