--- a/crates/feed/src/lease.rs
+++ b/crates/feed/src/lease.rs
@@ -1,15 +1,15 @@
-//! The freshness lease: for how long a subscriber may use its copies without news of purges.
+//! The freshness lease: how long a subscriber may use its copies without receiving further events.
 //!
-//! An answer proves that, up to the time at which its poll was sent less the answer's age, there were no events besides
-//! those that the subscriber has applied. For a configured span from then on the subscriber may use its copies without
-//! restriction. After that the lease has expired: there may be purges of which the subscriber has not been notified.
+//! An answer proves that the subscriber has applied all events that existed at the time its poll was sent, minus the
+//! answer's age. The lease lasts for a configured duration from that time, during which the subscriber may use its
+//! copies without restriction. After lease expiry there may be purges of which the subscriber has not been notified.
 
 use crate::{Micros, PerMille};
 
-/// The whole of a [`PerMille`]. A drift of this or more means that a clock may stand still.
+/// The [`PerMille`] value of one. A drift of this or more means that a clock may stand still.
 const PER_MILLE: PerMille = 1_000;
 
-/// A subscriber's freshness lease, on its own monotonic clock.
+/// The freshness lease of a subscriber, on the subscriber's monotonic clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
     as_of: Option<Micros>,
@@ -19,25 +19,26 @@
 }
 
 impl Lease {
-    /// A lease that has not begun: it counts as expired until [`Lease::renew`].
+    /// Creates a lease that counts as expired until the first [`Lease::renew`].
     ///
-    /// `duration` is in true time; a clock may run fast or slow by `drift_per_mille`.
+    /// `duration` is in true time; the clock may run fast or slow by up to `drift_per_mille`.
     pub fn new(duration: Micros, drift_per_mille: PerMille, process_started_at: Micros) -> Lease {
         Lease { as_of: None, duration, drift_per_mille, process_started_at }
     }
 
-    /// All events up to `as_of` have been applied. A time before the known one changes nothing.
+    /// Renews the lease: all events that existed at `as_of` have been applied. An earlier time than the known one has
+    /// no effect.
     pub fn renew(&mut self, as_of: Micros) {
         self.as_of = self.as_of.max(Some(as_of));
     }
 
-    /// Whether there may be events older than the lease's duration that have not been applied; also before the first
+    /// Whether the lease has expired, so that events older than its duration may be missing. True before the first
     /// answer.
     pub fn is_expired(&self, now: Micros) -> bool {
         self.until().is_none_or(|until| now >= until)
     }
 
-    /// When the lease expires unless it is renewed; `None` before the first answer.
+    /// The time at which the lease expires unless it is renewed; `None` before the first answer.
     pub fn until(&self) -> Option<Micros> {
         self.as_of.map(|as_of| as_of.saturating_add(self.guaranteed_duration()))
     }
@@ -47,33 +48,34 @@
         self.as_of
     }
 
-    /// Once the lease has expired, copies made before this time count as purged. `None` while the lease is valid.
+    /// The purge floor after lease expiry: copies made before it count as purged. `None` while the lease is valid.
     ///
-    /// It advances with the time, as a copy made after the lease's end may have been purged since as well. It is never
-    /// before the process's start: purges that an earlier process had acknowledged count as applied here, and this
+    /// The floor advances with time, because a copy made after lease expiry may have been purged in the meantime. It is
+    /// never before the start of the process: purges acknowledged by an earlier process count as applied, although this
     /// process does not know them.
     pub fn purge_floor(&self, now: Micros) -> Option<Micros> {
         self.is_expired(now)
             .then(|| now.saturating_sub(self.guaranteed_duration()).max(self.process_started_at))
     }
 
-    /// The duration on a clock that may be slow by the drift: never longer than the lease in true time.
+    /// The lease duration on a clock that may be slow by the drift, which never exceeds the duration in true time.
     fn guaranteed_duration(&self) -> Micros {
         scale(self.duration, PER_MILLE.saturating_sub(self.drift_per_mille))
     }
 }
 
-/// The time after which a lease of this duration has expired everywhere, on a clock that may be fast by the drift.
+/// The time after which a lease of this duration has expired at every subscriber, on a clock that may be fast by the
+/// drift.
 pub fn expired_everywhere_after(duration: Micros, drift_per_mille: PerMille) -> Micros {
     scale(duration, PER_MILLE.saturating_add(drift_per_mille)).saturating_add(1)
 }
 
-/// The longest that an age measured by another clock, slow by up to the drift, can be on the own clock.
+/// The upper bound on the local clock of an age that was measured on another clock, slow by up to the drift.
 pub fn age_upper_bound(age: Micros, drift_per_mille: PerMille) -> Micros {
     scale(age, PER_MILLE.saturating_add(drift_per_mille)).saturating_add(1)
 }
 
-fn scale(span: Micros, thousandths: PerMille) -> Micros {
-    let scaled = u128::from(span) * u128::from(thousandths) / u128::from(PER_MILLE);
+fn scale(duration: Micros, per_mille: PerMille) -> Micros {
+    let scaled = u128::from(duration) * u128::from(per_mille) / u128::from(PER_MILLE);
     Micros::try_from(scaled).unwrap_or(Micros::MAX)
 }
--- a/crates/feed/src/lib.rs
+++ b/crates/feed/src/lib.rs
@@ -1,12 +1,12 @@
-//! The event feed: numbered events (endpoint lists, purges) on their way from a bus over relays to gateways.
+//! The event feed: distributes numbered events (endpoint lists, purges) from the event bus through relays to gateways.
 //!
-//! Nothing here does I/O, reads a clock or starts a thread: messages, the time and a seed are passed in.
+//! This crate does no I/O, reads no clock and starts no thread: callers pass in messages, the time and a random seed.
 //!
-//! - [`message`]: polls and answers, and their forms in a query and in JSON;
-//! - [`lease`]: the freshness lease, and which copies must not be used once it has expired;
-//! - [`subscription`]: a subscriber's side: which relay is polled when, and what an answer contains;
+//! - [`message`]: polls and answers, and how they are encoded in a query and in JSON;
+//! - [`lease`]: the freshness lease, and which copies are no longer valid after lease expiry;
+//! - [`subscription`]: the subscriber side: when to poll which relay, and how to classify its answers;
 //! - [`slice`](mod@slice): the slices of the hash space into which old purges are folded;
-//! - [`relay`]: a relay's side: the log, pending polls, acknowledgements and snapshots.
+//! - [`relay`]: the relay side: the log, pending polls, acknowledgements and snapshots.
 
 #![warn(missing_docs)]
 
@@ -16,14 +16,14 @@
 pub mod slice;
 pub mod subscription;
 
-/// The number of an event in its feed. Events may share one; within a feed, later events have no lower numbers.
+/// The number of an event in its feed. Offsets never decrease within a feed; several events may share one offset.
 pub type Offset = u64;
 
-/// A part of a whole in thousandths, such as by how much a clock may run fast or slow.
+/// A fraction in thousandths, such as the maximum drift of a clock.
 pub type PerMille = u32;
 
-/// A point in time or a span, in microseconds of the caller's own monotonic clock.
+/// A point in time or a duration, in microseconds on the caller's monotonic clock.
 pub type Micros = u64;
 
-/// Microseconds in a millisecond, the unit of times on the wire.
+/// The number of microseconds in a millisecond, the unit of times on the wire.
 pub const MILLISECOND: Micros = 1_000;
--- a/crates/feed/src/message.rs
+++ b/crates/feed/src/message.rs
@@ -1,5 +1,5 @@
-//! The messages between subscribers and relays: the bus's own long poll, extended by parameters and fields that a plain
-//! bus or subscriber ignores.
+//! The messages between subscribers and relays: the long poll of the event bus, extended by parameters and fields that
+//! a plain bus or subscriber ignores.
 //!
 //! ```text
 //! GET /bus/read?from=N&hold=MS[&feed=ID][&name=NAME&incarnation=N]
--- a/crates/feed/src/message/answer.rs
+++ b/crates/feed/src/message/answer.rs
@@ -1,4 +1,4 @@
-//! Answers and their events, in JSON.
+//! Answers to polls and their events, in JSON.
 
 use super::FeedId;
 use crate::Offset;
@@ -6,18 +6,19 @@
 use serde::{Deserialize, Deserializer, Serialize};
 use serde_json::{Map, Value};
 
-/// The fields of an answer besides its events. Unknown fields are ignored.
+/// The fields of an answer other than its events. Unknown fields are ignored.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Head {
-    /// The last event that the answer contains or, for a snapshot, includes the effect of.
+    /// The offset of the last event that the answer contains or, for a snapshot, whose effect it includes.
     pub offset: Offset,
-    /// The feed to which the offsets belong, where it has an identity.
+    /// The feed to which the offsets belong, if it has an identity.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub feed: Option<FeedId>,
-    /// How many milliseconds before this answer its sender knew itself current; `None` proves no freshness.
+    /// The time in milliseconds between the sender's last proof of freshness and this answer; `None` proves no
+    /// freshness.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub age_ms: Option<u64>,
-    /// The batch is the complete state: one list of all stores, then the purges still stored.
+    /// Whether the batch is the complete state: one endpoint list of all stores, followed by the stored purges.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub snapshot: bool,
 }
@@ -28,42 +29,42 @@
     /// The purged URL.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub url: Option<String>,
-    /// The purged tag, unless there is a URL.
+    /// The purged tag; ignored if there is a URL.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tag: Option<u64>,
-    /// Copies made before this time are purged, in Unix milliseconds.
+    /// The time before which copies count as purged, in Unix milliseconds.
     #[serde(default)]
     pub ts: u64,
-    /// The purged slice, of `of` equal ones of the hash space.
+    /// The index of the purged slice, out of `of` equal slices of the hash space.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub slice: Option<u32>,
-    /// How many slices the hash space is divided into.
+    /// The number of slices into which the hash space is divided.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub of: Option<u32>,
-    /// Fields that are not known here pass on unchanged.
+    /// Unknown fields, which are forwarded unchanged.
     #[serde(flatten)]
     pub other: Map<String, Value>,
 }
 
-/// An event as relays pass it on, including events and fields that they do not know.
+/// An event as relays forward it, including unknown fields and unknown kinds of events.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RawEvent {
-    /// Its number in the feed.
+    /// The number of the event in its feed.
     pub offset: Offset,
-    /// A complete endpoint list or a change of it.
+    /// A complete endpoint list or a change to it.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub topology: Option<Value>,
     /// A purge.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub ban: Option<Ban>,
-    /// Fields that are not known here, and a ban that can't be read.
+    /// Unknown fields, and a ban that can't be parsed.
     #[serde(flatten)]
     pub other: Map<String, Value>,
 }
 
 impl<'a> Deserialize<'a> for RawEvent {
-    fn deserialize<D: Deserializer<'a>>(from: D) -> Result<RawEvent, D::Error> {
-        let mut other = Map::<String, Value>::deserialize(from)?;
+    fn deserialize<D: Deserializer<'a>>(deserializer: D) -> Result<RawEvent, D::Error> {
+        let mut other = Map::<String, Value>::deserialize(deserializer)?;
         let offset = other.remove("offset").ok_or(D::Error::missing_field("offset"))?;
         let offset = u64::deserialize(offset).map_err(D::Error::custom)?;
         let topology = other.remove("topology").filter(|topology| !topology.is_null());
@@ -75,10 +76,10 @@
     }
 }
 
-/// An answer with its events, for relays.
+/// An answer with its events, as relays parse it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Answer {
-    /// The fields besides the events.
+    /// The fields other than the events.
     #[serde(flatten)]
     pub head: Head,
     /// The events, in the order of their offsets.
@@ -86,8 +87,9 @@
     pub batch: Vec<RawEvent>,
 }
 
-/// Each event by itself: one without an offset can't be passed on, and must not prevent those after it from being read.
-fn deserialize_events<'a, D: Deserializer<'a>>(from: D) -> Result<Vec<RawEvent>, D::Error> {
-    let events = Vec::<Value>::deserialize(from)?;
+/// Parses each event individually: one without an offset can't be forwarded, but must not prevent later events from
+/// being parsed.
+fn deserialize_events<'a, D: Deserializer<'a>>(deserializer: D) -> Result<Vec<RawEvent>, D::Error> {
+    let events = Vec::<Value>::deserialize(deserializer)?;
     Ok(events.into_iter().filter_map(|event| RawEvent::deserialize(event).ok()).collect())
 }
--- a/crates/feed/src/message/poll.rs
+++ b/crates/feed/src/message/poll.rs
@@ -1,4 +1,4 @@
-//! Polls, and their form in the query of a request.
+//! Polls, and how they are encoded in the query of a request.
 
 use super::FeedId;
 use crate::Offset;
@@ -6,30 +6,31 @@
 use std::fmt::Write;
 use thiserror::Error;
 
-/// The path of a poll.
+/// The path of a poll request.
 pub const POLL_PATH: &str = "/bus/read";
-/// The longest hold that a relay grants, in milliseconds; a longer one is shortened to it.
+/// The maximum hold, in milliseconds; a longer requested hold is reduced to it.
 pub const MAX_HOLD_MS: u64 = 30_000;
-/// The longest query that is accepted, in bytes.
+/// The maximum length of a query, in bytes.
 pub const MAX_QUERY_BYTES: usize = 1_024;
-/// The longest name of a subscriber, in bytes.
+/// The maximum length of a subscriber's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// The subscriber whose acknowledgement a poll carries.
+/// The identity of the subscriber whose acknowledgement a poll carries.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Identity {
     /// The subscriber's name.
     pub name: String,
-    /// Its process: each has a higher one than those before. What an earlier process had applied is lost.
+    /// Identifies the subscriber's process: each process has a higher incarnation than the ones before. Events applied
+    /// by an earlier process are lost.
     pub incarnation: u64,
 }
 
-/// One poll. It acknowledges all events up to `from`: the subscriber has applied them.
+/// A poll. It acknowledges all events up to `from`, which the subscriber has applied.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Poll {
-    /// The answer is to contain the events after this one.
+    /// The offset after which the answer is to contain events.
     pub from: Offset,
-    /// For how many milliseconds the poll may wait for new events.
+    /// How long the poll may wait for new events, in milliseconds.
     pub hold_ms: u64,
     /// The feed to which `from` belongs; `None` if the subscriber does not know it.
     pub feed: Option<FeedId>,
@@ -37,23 +38,23 @@
     pub identity: Option<Identity>,
 }
 
-/// Why a query is no poll, and where.
+/// A query that is not a valid poll, with the position of the error.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("query, byte {position}: {kind}")]
 pub struct ParsePollError {
-    /// The byte of the query, from 0.
+    /// The byte offset in the query, from 0.
     pub position: usize,
-    /// What is wrong there.
+    /// The kind of the error.
     pub kind: ParsePollErrorKind,
 }
 
-/// What is wrong with a query.
+/// Why a query is not a valid poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ParsePollErrorKind {
     /// The query is longer than [`MAX_QUERY_BYTES`].
     #[error("longer than {MAX_QUERY_BYTES} bytes")]
     TooLong,
-    /// `from` is missing.
+    /// The parameter `from` is missing.
     #[error("`from` is missing")]
     MissingFrom,
     /// Only one of `name` and `incarnation` is given.
@@ -68,13 +69,14 @@
     /// The value is not a [`FeedId`].
     #[error("not an identity of a feed")]
     InvalidFeed,
-    /// A name is 1 to [`MAX_NAME_BYTES`] bytes of UTF-8 without control characters.
+    /// The name is not 1 to [`MAX_NAME_BYTES`] bytes of UTF-8 without control characters.
     #[error("not a name of 1 to {MAX_NAME_BYTES} bytes")]
     InvalidName,
 }
 
 impl Poll {
-    /// The path and query of the request. Without feed and identity it is the plain bus's request, byte for byte.
+    /// The path and query of the request. Without feed and identity they equal the request to a plain bus, byte for
+    /// byte.
     pub fn path(&self) -> String {
         let mut path = format!("{POLL_PATH}?from={}&hold={}", self.from, self.hold_ms);
         if let Some(feed) = &self.feed {
@@ -84,16 +86,16 @@
         if let Some(Identity { name, incarnation }) = &self.identity {
             path += "&name=";
             percent_encode(name, &mut path);
-            // Writing to a string can't fail.
+            // Writing to a string never fails.
             let _ = write!(path, "&incarnation={incarnation}");
         }
         path
     }
 
-    /// Parses a query, without its `?`. Unknown parameters are ignored; without `hold` the poll does not wait.
+    /// Parses a query without its `?`. Unknown parameters are ignored; without `hold` the poll does not wait.
     ///
     /// # Errors
-    /// [`ParsePollError`] with the position in the query.
+    /// [`ParsePollError`] with the position of the error in the query.
     pub fn parse(query: &str) -> Result<Poll, ParsePollError> {
         if query.len() > MAX_QUERY_BYTES {
             return Err(ParsePollError { position: MAX_QUERY_BYTES, kind: ParsePollErrorKind::TooLong });
@@ -108,7 +110,7 @@
     }
 }
 
-/// The known parameters of a query, as far as it has been parsed.
+/// The known parameters of a query that have been parsed so far.
 #[derive(Default)]
 struct QueryParameters {
     from: Option<u64>,
@@ -138,13 +140,13 @@
     }
 
     fn into_poll(self, end: usize) -> Result<Poll, ParsePollError> {
-        let missing = |kind| ParsePollError { position: end, kind };
+        let error_at_end = |kind| ParsePollError { position: end, kind };
         let identity = match (self.name, self.incarnation) {
             (Some(name), Some(incarnation)) => Some(Identity { name, incarnation }),
             (None, None) => None,
-            _ => return Err(missing(ParsePollErrorKind::IncompleteIdentity)),
+            _ => return Err(error_at_end(ParsePollErrorKind::IncompleteIdentity)),
         };
-        let from = self.from.ok_or(missing(ParsePollErrorKind::MissingFrom))?;
+        let from = self.from.ok_or(error_at_end(ParsePollErrorKind::MissingFrom))?;
         let hold_ms = self.hold_ms.unwrap_or(0).min(MAX_HOLD_MS);
         Ok(Poll { from, hold_ms, feed: self.feed, identity })
     }
@@ -158,40 +160,40 @@
 }
 
 fn parse_number(position: usize, value: &str) -> Result<u64, ParsePollError> {
-    let digits = value.bytes().all(|byte| byte.is_ascii_digit());
+    let only_digits = value.bytes().all(|byte| byte.is_ascii_digit());
     let invalid = ParsePollError { position, kind: ParsePollErrorKind::InvalidNumber };
-    if digits { value.parse().map_err(|_| invalid) } else { Err(invalid) }
+    if only_digits { value.parse().map_err(|_| invalid) } else { Err(invalid) }
 }
 
 fn parse_name(position: usize, value: &str) -> Result<String, ParsePollError> {
-    let valid =
+    let is_valid =
         |name: &String| (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.chars().any(char::is_control);
     percent_decode(value)
-        .filter(valid)
+        .filter(is_valid)
         .ok_or(ParsePollError { position, kind: ParsePollErrorKind::InvalidName })
 }
 
-/// Percent-encodes all characters except those that a query may contain as they are.
-fn percent_encode(text: &str, out: &mut String) {
+/// Percent-encodes all characters except those that a query may contain unencoded.
+fn percent_encode(text: &str, encoded: &mut String) {
     for byte in text.bytes() {
         if byte.is_ascii_alphanumeric() || b"-._~:".contains(&byte) {
-            out.push(char::from(byte));
+            encoded.push(char::from(byte));
         } else {
-            // Writing to a string can't fail.
-            let _ = write!(out, "%{byte:02X}");
+            // Writing to a string never fails.
+            let _ = write!(encoded, "%{byte:02X}");
         }
     }
 }
 
 fn percent_decode(text: &str) -> Option<String> {
     let mut bytes = Vec::with_capacity(text.len());
-    let mut rest = text.bytes();
-    while let Some(byte) = rest.next() {
+    let mut remaining = text.bytes();
+    while let Some(byte) = remaining.next() {
         if byte != b'%' {
             bytes.push(byte);
             continue;
         }
-        let mut digit = || char::from(rest.next()?).to_digit(16);
+        let mut digit = || char::from(remaining.next()?).to_digit(16);
         let value = digit()? * 16 + digit()?;
         bytes.push(u8::try_from(value).ok()?);
     }
--- a/crates/feed/src/relay.rs
+++ b/crates/feed/src/relay.rs
@@ -1,14 +1,14 @@
-//! A relay's side of the feed: it follows the bus, or another relay, by a [`Subscription`](crate::subscription) of its
-//! own, and answers the polls of many subscribers.
+//! The relay side of the feed: a relay follows the event bus or an upstream relay by its own
+//! [`Subscription`](crate::subscription), and answers the polls of many subscribers.
 //!
-//! - `upstream`: applies answers from above;
-//! - `log`: the events that can be sent one by one;
+//! - `upstream`: applies answers of the upstream;
+//! - `log`: the events that can be sent individually;
 //! - [`purges`] and `topology`: the complete state, for snapshots;
-//! - `admission`: how many sessions may poll;
+//! - `admission`: limits the number of sessions;
 //! - `pending_polls`: polls that wait for new events;
 //! - `answer`: the bodies that answer polls;
-//! - [`acknowledgements`] and [`watermark`]: which events are complete everywhere;
-//! - [`report`] and `reporting`: what other relays and operators receive.
+//! - [`acknowledgements`] and [`watermark`]: which events are complete at all subscribers;
+//! - [`report`] and `reporting`: reports for peer relays and status for operators.
 
 pub mod acknowledgements;
 mod admission;
@@ -42,41 +42,41 @@
 pub use settings::Settings;
 pub use upstream::UpstreamAnswerError;
 
-/// One connection of a subscriber, by a number of the caller's that is not used again.
+/// Identifies one connection of a subscriber, by a number that the caller never reuses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Session(pub u64);
 
-/// How often expired purges, offsets and subscribers are dropped.
+/// The interval between removals of expired purges, offsets and subscribers.
 const HOUSEKEEPING_INTERVAL: Micros = 1_000 * MILLISECOND;
 
-/// One relay.
+/// The state of one relay.
 #[derive(Debug)]
 pub struct Relay {
     settings: Settings,
-    /// An answer from above has been applied.
+    /// Whether an answer of the upstream has been applied.
     is_ready: bool,
     feed: Option<FeedId>,
-    /// All events that there were at this time are known.
+    /// All events that existed at this time are known.
     as_of: Option<Micros>,
     log: Log,
     topology: Topology,
     purges: Purges,
     pending: PendingPolls,
-    /// When pending polls are answered with the new events.
+    /// When pending polls are to be answered with the new events.
     flush_at: Option<Micros>,
-    /// Pending polls have been answered with the events up to here.
+    /// The offset up to which pending polls have been answered.
     flushed: Offset,
     admission: Admission,
     watermark: Watermark,
-    /// The events of a snapshot, as long as nothing has changed since they were encoded.
+    /// The encoded events of a snapshot; cleared whenever the state changes.
     encoded_snapshot: OnceLock<String>,
     next_housekeeping: Micros,
-    /// Snapshots sent since the start.
+    /// The number of snapshots sent since the start.
     snapshots_sent: u64,
 }
 
 impl Relay {
-    /// A relay without any state: it rejects polls until the first answer from above.
+    /// Creates a relay without state: it rejects polls until the first answer of the upstream.
     pub fn new(settings: Settings, now: Micros) -> Relay {
         Relay {
             is_ready: false,
@@ -97,7 +97,8 @@
         }
     }
 
-    /// Answers a poll or makes it wait. Its acknowledgement counts unless the reply is [`PollReply::Busy`].
+    /// Answers a poll or adds it to the pending polls. Its acknowledgement counts unless the reply is
+    /// [`PollReply::Busy`].
     pub fn handle_poll(&mut self, now: Micros, session: Session, address: IpAddr, poll: &Poll) -> PollReply {
         if !self.is_ready || !self.admission.admit(session, address) {
             return self.busy(now);
@@ -130,17 +131,20 @@
             PollAnswer::After(from) => {
                 let expires_at = now.saturating_add(poll.hold_ms.saturating_mul(MILLISECOND));
                 self.pending.insert(PendingPoll { session, from, expires_at, needs_snapshot: false });
-                debug_assert!(from >= last || self.flush_at.is_some(), "no poll waits for known events");
+                debug_assert!(
+                    from >= last || self.flush_at.is_some(),
+                    "a poll for known events is pending without a scheduled flush"
+                );
                 PollReply::Pending
             }
         }
     }
 
-    /// Answers pending polls for which there are new events, or whose hold has ended.
+    /// Answers the pending polls for which there are new events or whose hold has ended.
     pub fn tick(&mut self, now: Micros) -> Vec<DueAnswer> {
         self.run_housekeeping(now);
         let mut due = Vec::new();
-        if self.flush_at.is_some_and(|at| at <= now) {
+        if self.flush_at.is_some_and(|flush_at| flush_at <= now) {
             self.flush_at = None;
             self.flushed = self.log.last_offset();
             due = self.pending.take_outdated(self.flushed);
@@ -148,7 +152,7 @@
         due.extend(self.pending.take_expired(now));
         let snapshots = due.iter().filter(|poll| self.answer_to(poll) == PollAnswer::Snapshot);
         self.snapshots_sent += snapshots.count() as u64;
-        // Encoded once for all polls with the same answer.
+        // Polls with the same answer share one encoded body.
         let mut bodies = BTreeMap::new();
         let answer = |poll: PendingPoll| {
             let content = self.answer_to(&poll);
@@ -158,28 +162,28 @@
         due.into_iter().map(answer).collect()
     }
 
-    /// When [`Relay::tick`] is to be called next; `None` if only a poll or an answer from above can change anything.
+    /// When [`Relay::tick`] is to be called next; `None` if only a poll or an answer of the upstream can require it.
     pub fn next_tick(&self) -> Option<Micros> {
         self.flush_at.into_iter().chain(self.pending.first_expiry()).min()
     }
 
-    /// The connection has ended.
+    /// Removes a session whose connection has ended, together with its pending poll.
     pub fn session_closed(&mut self, session: Session) {
         self.pending.remove(session);
         self.admission.close(session);
     }
 
-    /// Applies another relay's report. False, and of no effect, if it is none of the configured ones.
+    /// Applies the report of a peer relay. Returns false, without any effect, if the peer is not configured.
     pub fn apply_peer_report(&mut self, now: Micros, peer: &str, report: &Report) -> bool {
         self.watermark.apply_peer_report(now, peer, report)
     }
 
-    /// Removes a subscriber that an operator says is gone. False if none was known by this name.
+    /// Removes a subscriber that an operator has declared gone. Returns false if the name is unknown.
     pub fn forget(&mut self, name: &str) -> bool {
         self.watermark.forget(name)
     }
 
-    /// The last event known.
+    /// The offset of the last known event.
     pub fn offset(&self) -> Offset {
         self.log.last_offset()
     }
@@ -194,11 +198,12 @@
         self.watermark.expire(now);
     }
 
-    fn schedule_flush(&mut self, at: Micros) {
-        self.flush_at = Some(self.flush_at.map_or(at, |known| known.min(at)));
+    fn schedule_flush(&mut self, flush_at: Micros) {
+        self.flush_at = Some(self.flush_at.map_or(flush_at, |scheduled| scheduled.min(flush_at)));
     }
 
-    /// Whether the poll's `from` is an offset of this relay's feed. A poll in the plain bus's form does not say.
+    /// Whether the `from` of a poll is an offset of this relay's feed. A plain poll does not name its feed and is
+    /// assumed to belong to it.
     fn is_same_feed(&self, poll: &Poll) -> bool {
         let plain = poll.identity.is_none() && poll.feed.is_none();
         plain || poll.feed == self.feed || (poll.feed.is_none() && poll.from == 0)
--- a/crates/feed/src/relay/acknowledgements.rs
+++ b/crates/feed/src/relay/acknowledgements.rs
@@ -1,39 +1,39 @@
-//! Which events each subscriber has acknowledged, here and at the other relays.
+//! The events that each subscriber has acknowledged, at this relay and at its peers.
 
 use crate::message::Identity;
 use crate::{MILLISECOND, Micros, Offset};
 use std::collections::BTreeMap;
 
-/// How many subscribers are known at one time.
+/// The maximum number of subscribers in the table.
 pub const MAX_SUBSCRIBERS: usize = 16_384;
 
-/// A subscriber, in the latest incarnation known.
+/// A subscriber in its latest known incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Subscriber {
-    /// Its process.
+    /// The incarnation of the subscriber's process.
     pub incarnation: u64,
-    /// It has applied the events up to here.
+    /// The offset up to which the subscriber has applied events.
     pub offset: Offset,
-    /// When it polled last, here or at another relay.
+    /// When the subscriber last polled this relay or a peer.
     pub last_seen: Micros,
-    /// The relay that it polled last.
+    /// The relay that the subscriber polled last.
     pub via: String,
-    /// When it polled here last.
+    /// When the subscriber last polled this relay.
     pub last_polled_here: Option<Micros>,
 }
 
-/// A subscriber's acknowledgement, by a poll or by another relay's report.
+/// A subscriber's acknowledgement, received by a poll or by the report of a peer relay.
 #[derive(Clone, Copy, Debug)]
 pub struct Acknowledgement<'a> {
-    /// The subscriber and its process.
+    /// The subscriber's name and incarnation.
     pub identity: &'a Identity,
-    /// It has applied the events up to here.
+    /// The offset up to which the subscriber has applied events.
     pub offset: Offset,
-    /// When it polled.
+    /// When the subscriber polled.
     pub last_seen: Micros,
-    /// The relay that it polled.
+    /// The relay that received the poll.
     pub via: &'a str,
-    /// Whether that is this relay.
+    /// Whether this relay received the poll.
     pub polled_here: bool,
 }
 
@@ -43,22 +43,23 @@
     forget_after: Micros,
     capacity: usize,
     subscribers: BTreeMap<String, Subscriber>,
-    /// Until then the table may lack a subscriber for which there was no capacity.
+    /// The time until which the table may lack a subscriber for want of capacity.
     incomplete_until: Micros,
 }
 
 impl Acknowledgements {
-    /// An empty table of this capacity. A subscriber that has not polled for longer than `forget_after` is dropped.
+    /// Creates an empty table. It holds at most `capacity` subscribers, and drops those that have not polled for longer
+    /// than `forget_after`.
     pub fn new(forget_after: Micros, capacity: usize) -> Acknowledgements {
         Acknowledgements { forget_after, capacity, subscribers: BTreeMap::new(), incomplete_until: 0 }
     }
 
-    /// Records an acknowledgement. One of an earlier process than the known one is ignored.
+    /// Records an acknowledgement. One of an earlier incarnation than the known one is ignored.
     pub fn record(&mut self, now: Micros, acknowledgement: Acknowledgement) {
         let Identity { name, incarnation } = acknowledgement.identity;
         let Some(known) = self.subscribers.get_mut(name) else { return self.insert(now, acknowledgement) };
         if *incarnation < known.incarnation {
-            // A process that has ended: what it had applied is lost.
+            // The process has ended: the events that it had applied are lost.
             return;
         }
         if *incarnation > known.incarnation {
@@ -75,30 +76,30 @@
         }
     }
 
-    /// Drops subscribers that have not polled for too long: their leases have expired long ago.
+    /// Drops the subscribers that have not polled within `forget_after`: their leases expired long ago.
     pub fn expire(&mut self, now: Micros) {
         let forget_after = self.forget_after;
         self.subscribers.retain(|_, known| now.saturating_sub(known.last_seen) <= forget_after);
     }
 
-    /// Removes a subscriber that an operator says is gone. False if none was known by this name.
+    /// Removes a subscriber that an operator has declared gone. Returns false if the name is unknown.
     pub fn forget(&mut self, name: &str) -> bool {
         self.subscribers.remove(name).is_some()
     }
 
-    /// Another feed has begun: all acknowledged offsets are void.
+    /// Resets all acknowledged offsets, which are no longer valid when another feed begins.
     pub fn reset_offsets(&mut self) {
         for known in self.subscribers.values_mut() {
             known.offset = 0;
         }
     }
 
-    /// Whether no subscriber is missing for want of capacity.
+    /// Whether the table lacks no subscriber for want of capacity.
     pub fn is_complete(&self, now: Micros) -> bool {
         now >= self.incomplete_until
     }
 
-    /// The offset that all subscribers have acknowledged; `None` if there are none.
+    /// The offset that all subscribers have acknowledged; `None` if there are no subscribers.
     pub fn lowest_offset(&self, now: Micros) -> Option<Offset> {
         self.present(now).map(|(_, known)| known.offset).min()
     }
@@ -134,7 +135,7 @@
     }
 }
 
-/// How long ago a subscriber or peer was last seen, in whole milliseconds.
+/// The time since a subscriber or peer was last seen, in whole milliseconds.
 pub fn silent_ms(now: Micros, last_seen: Micros) -> u64 {
     now.saturating_sub(last_seen) / MILLISECOND
 }
--- a/crates/feed/src/relay/admission.rs
+++ b/crates/feed/src/relay/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of sessions: they are bounded in all and for each address, and rejected ones are spread as they come back.
+//! Admission of sessions: limits them in total and per address, and spreads the retries of rejected ones.
 
 use super::Session;
 use crate::{MILLISECOND, Micros};
@@ -9,7 +9,7 @@
 const MIN_RETRY_AFTER: Micros = 100 * MILLISECOND;
 /// The longest Retry-After.
 const MAX_RETRY_AFTER: Micros = 1_000 * MILLISECOND;
-/// The time between the returns of two rejected sessions.
+/// The interval between the retries of two rejected sessions.
 const RETRY_SPACING: Micros = MILLISECOND;
 
 /// The admitted sessions.
@@ -19,7 +19,7 @@
     max_sessions_per_address: usize,
     sessions: BTreeMap<Session, IpAddr>,
     by_address: BTreeMap<IpAddr, usize>,
-    /// When the session that was rejected last is to come back.
+    /// When the most recently rejected session is to retry.
     last_retry: Micros,
 }
 
@@ -29,7 +29,7 @@
         Admission { max_sessions, max_sessions_per_address, sessions, by_address, last_retry: 0 }
     }
 
-    /// Whether the session may poll. It is counted until it is closed.
+    /// Returns whether the session may poll. An admitted session counts until it is closed.
     pub fn admit(&mut self, session: Session, address: IpAddr) -> bool {
         if self.sessions.contains_key(&session) {
             return true;
@@ -54,7 +54,7 @@
         }
     }
 
-    /// After how long a session that is rejected now is to come back.
+    /// The Retry-After of a session that is rejected now.
     pub fn retry_after(&mut self, now: Micros) -> Micros {
         let (earliest, latest) = (now.saturating_add(MIN_RETRY_AFTER), now.saturating_add(MAX_RETRY_AFTER));
         self.last_retry = self.last_retry.saturating_add(RETRY_SPACING).clamp(earliest, latest);
--- a/crates/feed/src/relay/answer.rs
+++ b/crates/feed/src/relay/answer.rs
@@ -1,4 +1,4 @@
-//! The bodies that answer polls: the events after an offset, or a snapshot of the whole state.
+//! The bodies of answers to polls: the events after an offset, or a snapshot of the complete state.
 
 use super::pending_polls::PendingPoll;
 use super::{Relay, SharedBody};
@@ -6,17 +6,17 @@
 use crate::{Micros, Offset};
 use std::borrow::Cow;
 
-/// What a poll is answered with.
+/// The content of the answer to a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PollAnswer {
-    /// The events after this one.
+    /// The events after this offset.
     After(Offset),
     /// The complete state.
     Snapshot,
 }
 
 impl Relay {
-    /// What a pending poll is answered with now.
+    /// The content with which a pending poll is answered now.
     pub(super) fn answer_to(&self, poll: &PendingPoll) -> PollAnswer {
         if poll.needs_snapshot || !self.log.contains_all_after(poll.from) {
             PollAnswer::Snapshot
@@ -33,20 +33,20 @@
                 let events = self.encoded_snapshot.get_or_init(|| self.snapshot_events());
                 (last, true, Cow::Borrowed(events.as_str()))
             }
-            // A subscriber that is ahead receives this relay's offset.
+            // A subscriber that is ahead of this relay receives the relay's offset.
             PollAnswer::After(from) if from >= last => (last, false, Cow::Borrowed("")),
             PollAnswer::After(from) => {
                 let batch = self.log.after(from);
                 (batch.offset, false, Cow::Owned(batch.events))
             }
         };
-        // A part of the known events proves no freshness.
+        // An answer with only some of the known events proves no freshness.
         let age_ms = self.age_ms(now).filter(|_| offset == last);
         let head = Head { offset, feed: self.feed.clone(), age_ms, snapshot };
-        encoded(&head, &events).into_bytes().into()
+        encode_answer(&head, &events).into_bytes().into()
     }
 
-    /// The complete state, as events of the last offset.
+    /// Encodes the complete state as events of the last offset.
     fn snapshot_events(&self) -> String {
         let offset = self.log.last_offset();
         let event = |topology, ban| RawEvent { offset, topology, ban, other: serde_json::Map::new() };
@@ -58,8 +58,8 @@
     }
 }
 
-fn encoded(head: &Head, events: &str) -> String {
-    // A head always has a field, so that the batch can follow it.
+fn encode_answer(head: &Head, events: &str) -> String {
+    // The encoded head is never an empty object, so that the batch can follow a comma.
     let mut body = serde_json::to_string(head).unwrap_or_else(|_| format!("{{\"offset\":{}}}", head.offset));
     body.pop();
     body.push_str(",\"batch\":[");
--- a/crates/feed/src/relay/log.rs
+++ b/crates/feed/src/relay/log.rs
@@ -1,11 +1,11 @@
-//! The events that a relay can still send one by one, encoded as they go on the wire.
+//! The log of events that a relay can still send individually, encoded as on the wire.
 
 use crate::Offset;
 use std::collections::VecDeque;
 
-/// The log's largest size in bytes, besides its number of events.
+/// The maximum size of the log in bytes, in addition to the maximum number of events.
 const MAX_LOG_BYTES: usize = 4 * 1024 * 1024;
-/// An answer ends after about this many bytes; the rest comes with the next one.
+/// The approximate maximum size of an answer in bytes; the remaining events are sent in the next answer.
 const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 
 #[derive(Debug)]
@@ -17,7 +17,7 @@
 /// The latest events, in the order of their offsets.
 #[derive(Debug)]
 pub struct Log {
-    /// The log holds all events after this one.
+    /// The offset after which the log contains all events.
     base_offset: Offset,
     last_offset: Offset,
     entries: VecDeque<Entry>,
@@ -25,9 +25,9 @@
     max_events: usize,
 }
 
-/// Events joined as the inside of a JSON array.
+/// Encoded events, joined as the elements of a JSON array.
 pub struct Batch {
-    /// The last event in it; before the log's last one where the batch had to be cut.
+    /// The last offset that the batch covers; lower than the last offset of the log if the batch was cut off.
     pub offset: Offset,
     pub events: String,
 }
@@ -37,7 +37,7 @@
         Log { base_offset: 0, last_offset: 0, entries: VecDeque::new(), bytes: 0, max_events }
     }
 
-    /// The last event known.
+    /// The offset of the last known event.
     pub fn last_offset(&self) -> Offset {
         self.last_offset
     }
@@ -50,7 +50,7 @@
         self.entries.len()
     }
 
-    /// Adds the next event, encoded.
+    /// Appends the next event, encoded as JSON.
     pub fn push(&mut self, offset: Offset, json: String) {
         self.bytes += json.len();
         self.last_offset = self.last_offset.max(offset);
@@ -60,12 +60,12 @@
         }
     }
 
-    /// Offsets up to here are known, also where there were no events for them.
+    /// Records that the offsets up to this one are known, including offsets without events.
     pub fn advance(&mut self, offset: Offset) {
         self.last_offset = self.last_offset.max(offset);
     }
 
-    /// Empties the log: it stores the events after `offset` from now on.
+    /// Clears the log. It contains the events after `offset` from now on.
     pub fn reset(&mut self, offset: Offset) {
         self.entries.clear();
         self.bytes = 0;
@@ -73,18 +73,18 @@
         self.last_offset = offset;
     }
 
-    /// Whether the log stores all events after this one.
+    /// Whether the log contains all events after `from`.
     pub fn contains_all_after(&self, from: Offset) -> bool {
         from >= self.base_offset
     }
 
-    /// The events after this one, as many as one answer may have.
+    /// The events after `from`, up to the maximum size of an answer.
     pub fn after(&self, from: Offset) -> Batch {
         let start = self.entries.partition_point(|entry| entry.offset <= from);
         let mut events = String::new();
         let mut offset = from;
         for entry in self.entries.range(start..) {
-            // Events of one offset stay together: a subscriber with a part of them would count as having all.
+            // Events with the same offset are sent together: a subscriber with some of them would count as having all.
             if events.len() > MAX_ANSWER_BYTES && entry.offset > offset {
                 return Batch { offset, events };
             }
--- a/crates/feed/src/relay/pending_polls.rs
+++ b/crates/feed/src/relay/pending_polls.rs
@@ -1,4 +1,4 @@
-//! Polls that wait for new events, or for the end of their hold.
+//! The pending polls, which wait for new events or for the end of their hold.
 
 use super::Session;
 use crate::{Micros, Offset};
@@ -9,13 +9,13 @@
 pub struct PendingPoll {
     pub session: Session,
     pub from: Offset,
-    /// When its hold ends.
+    /// When the hold of the poll ends.
     pub expires_at: Micros,
-    /// It is answered with a snapshot, whatever its `from`.
+    /// Whether the poll is answered with a snapshot, regardless of its `from`.
     pub needs_snapshot: bool,
 }
 
-/// At most one poll of each session.
+/// The pending polls, at most one per session.
 #[derive(Debug, Default)]
 pub struct PendingPolls {
     polls: BTreeMap<Session, PendingPoll>,
@@ -23,7 +23,7 @@
 }
 
 impl PendingPolls {
-    /// Adds a poll. It replaces an earlier one of its session.
+    /// Adds a poll, which replaces an earlier one of the same session.
     pub fn insert(&mut self, poll: PendingPoll) {
         self.remove(poll.session);
         self.by_expiry.insert((poll.expires_at, poll.session));
@@ -62,7 +62,7 @@
         self.take(sessions)
     }
 
-    /// Another feed has begun: all offsets that subscribers know are void.
+    /// Marks all polls to be answered with a snapshot: their offsets are no longer valid when another feed begins.
     pub fn mark_all_for_snapshot(&mut self) {
         for poll in self.polls.values_mut() {
             poll.needs_snapshot = true;
--- a/crates/feed/src/relay/purges.rs
+++ b/crates/feed/src/relay/purges.rs
@@ -1,17 +1,17 @@
-//! The purges that are part of snapshots. Beyond the capacity the oldest are folded into floors by slice, which purge more
-//! than was requested and never less.
+//! The purges that are part of snapshots. Beyond the capacity the oldest are folded into purge floors by slice, which
+//! purge more than was requested and never less.
 
 use crate::Micros;
 use crate::message::Ban;
 use crate::slice::{self, Floor, Floors, SLICES};
 use std::collections::BTreeMap;
 
-/// The purges of a snapshot take no more bytes than this, besides floors.
+/// The maximum size in bytes of the purges of a snapshot, not counting floors.
 const MAX_PURGES_BYTES: usize = 2 * 1024 * 1024;
-/// About how many bytes a purge takes besides its key.
+/// The approximate size of a purge in bytes, not counting its key.
 const PURGE_OVERHEAD_BYTES: usize = 64;
 
-/// What is purged, as the gateways read it: a URL goes before a tag.
+/// The target of a purge as gateways interpret it: a URL takes precedence over a tag.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Key {
     Url(String),
@@ -24,15 +24,15 @@
 struct Purge {
     ban: Ban,
     known_since: Micros,
-    /// Numbers the purges in the order in which they became known.
+    /// The number of the purge in the order in which purges became known.
     sequence: u64,
 }
 
-/// Purges by what they purge, each stored for a configured time from when it became known.
+/// Purges by their target, each retained for a configured duration after it became known.
 #[derive(Debug)]
 pub struct Purges {
     retention: Micros,
-    /// How many purges are stored one by one.
+    /// The maximum number of purges that are stored individually.
     capacity: usize,
     by_key: BTreeMap<Key, Purge>,
     by_sequence: BTreeMap<u64, Key>,
@@ -42,7 +42,7 @@
 }
 
 impl Purges {
-    /// No purges. Each is stored for `retention`; beyond `capacity` the oldest are folded.
+    /// Creates an empty table. It retains each purge for `retention`, and folds the oldest purges beyond `capacity`.
     pub fn new(retention: Micros, capacity: usize) -> Purges {
         Purges {
             retention,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Adds a purge. It never weakens an earlier one of the same URL, tag or slice.
+    /// Adds a purge. It never weakens an earlier purge of the same URL, tag or slice.
     pub fn add(&mut self, now: Micros, ban: &Ban) {
         if let (Some(slice), Some(of)) = (ban.slice, ban.of) {
             self.floors.raise(slice, of, Floor { ts: ban.ts, known_since: now });
@@ -72,28 +72,28 @@
         }
     }
 
-    /// Drops purges older than the retention: the copies that they purge are gone by then.
+    /// Drops the purges older than the retention: the copies that they purge no longer exist.
     pub fn expire(&mut self, now: Micros) {
-        let Some(before) = now.checked_sub(self.retention) else { return };
+        let Some(oldest_retained) = now.checked_sub(self.retention) else { return };
         while let Some((_, key)) = self.by_sequence.first_key_value() {
             let key = key.clone();
-            if self.by_key.get(&key).is_some_and(|purge| purge.known_since >= before) {
+            if self.by_key.get(&key).is_some_and(|purge| purge.known_since >= oldest_retained) {
                 break;
             }
             self.remove(&key);
         }
-        self.floors.remove_older_than(before);
+        self.floors.remove_older_than(oldest_retained);
     }
 
-    /// All purges: floors, then the others, the oldest first.
+    /// Iterates over the floors, then over the individual purges, the oldest first.
     pub fn all(&self) -> impl Iterator<Item = Ban> + '_ {
         let floor =
             |(slice, Floor { ts, .. })| Ban { slice: Some(slice), of: Some(SLICES), ts, ..Ban::default() };
-        let single = |key: &Key| self.by_key.get(key).map(|purge| purge.ban.clone());
-        self.floors.iter().map(floor).chain(self.by_sequence.values().filter_map(single))
+        let individual = |key: &Key| self.by_key.get(key).map(|purge| purge.ban.clone());
+        self.floors.iter().map(floor).chain(self.by_sequence.values().filter_map(individual))
     }
 
-    /// How many purges are stored one by one.
+    /// The number of purges that are stored individually.
     pub fn count(&self) -> usize {
         self.by_key.len()
     }
@@ -126,7 +126,7 @@
         match key {
             Key::Url(url) => self.raise(slice::url_hash(&url), floor),
             Key::Tag(tag) => self.raise(slice::tag_hash(tag), floor),
-            // What it purges may be in any slice.
+            // The target may be in any slice.
             Key::Unknown(_) => self.floors.raise(0, 1, floor),
         }
     }
@@ -141,9 +141,9 @@
         (Some(url), _) => Key::Url(url.clone()),
         (None, Some(tag)) => Key::Tag(tag),
         (None, None) => {
-            let untimed = Ban { ts: 0, ..ban.clone() };
-            // What was read from JSON can be written as JSON.
-            Key::Unknown(serde_json::to_string(&untimed).unwrap_or_default())
+            let without_time = Ban { ts: 0, ..ban.clone() };
+            // A ban that was parsed from JSON can be encoded as JSON.
+            Key::Unknown(serde_json::to_string(&without_time).unwrap_or_default())
         }
     }
 }
--- a/crates/feed/src/relay/reply.rs
+++ b/crates/feed/src/relay/reply.rs
@@ -1,35 +1,36 @@
-//! What becomes of a poll, and the answers to pending polls.
+//! The replies to polls, and the answers to pending polls.
 
 use super::Session;
 use std::sync::Arc;
 use thiserror::Error;
 
-/// The body of an answer, shared by all polls that it answers.
+/// The encoded body of an answer, shared by all polls that receive it.
 pub type SharedBody = Arc<[u8]>;
 
-/// What becomes of a poll.
+/// The reply of a relay to a poll.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PollReply {
-    /// It is answered at once with this body.
+    /// The poll is answered immediately with this body.
     Answer(SharedBody),
-    /// It waits: [`Relay::tick`](super::Relay::tick) answers it.
+    /// The poll is pending: [`Relay::tick`](super::Relay::tick) answers it later.
     Pending,
-    /// It is not admitted: 503.
+    /// The session is not admitted: status 503.
     Busy {
-        /// After how many milliseconds the subscriber is to come back.
+        /// The time after which the subscriber is to retry, in milliseconds.
         retry_after_ms: u64,
     },
-    /// It can't be answered: 400.
+    /// The poll can't be answered: status 400.
     Invalid(InvalidPoll),
 }
 
 /// Why a well-formed poll can't be answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum InvalidPoll {
-    /// A session has one poll at a time.
+    /// Another poll of the session is pending; each session may have one.
     #[error("another poll of this connection is held")]
     AnotherPending,
-    /// A snapshot has purges by slice, which clients of the plain bus would ignore.
+    /// The poll needs a snapshot but has no identity. Snapshots contain purges by slice, which clients of a plain bus
+    /// would ignore.
     #[error("without a name there is no snapshot: old purges are told by slice")]
     SnapshotNeedsIdentity,
 }
--- a/crates/feed/src/relay/report.rs
+++ b/crates/feed/src/relay/report.rs
@@ -1,115 +1,115 @@
-//! The forms in which a relay reports to other relays and to operators.
+//! The reports of a relay to its peers, and its status for operators.
 
 use crate::Offset;
 use crate::message::FeedId;
 use serde::{Deserialize, Serialize};
 
-/// To the other relays: which subscribers have polled here, and up to which event this relay knows.
+/// A report to peer relays: the subscribers that have polled the reporting relay, and the last event that it knows.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Report {
     /// The reporting relay.
     pub relay: String,
-    /// The feed to which the offsets belong, where it has an identity.
+    /// The feed to which the offsets belong, if it has an identity.
     #[serde(default)]
     pub feed: Option<FeedId>,
-    /// The last event that the relay knows.
+    /// The offset of the last event that the relay knows.
     pub offset: Offset,
-    /// How many milliseconds ago the relay knew itself current; `None` before its first answer.
+    /// The time since the relay's last proof of freshness, in milliseconds; `None` before its first answer.
     #[serde(default)]
     pub age_ms: Option<u64>,
-    /// All subscribers that may have a lease from this relay are listed. Not so before a lease has passed since its
-    /// start: an earlier process may have served others.
+    /// Whether the report lists all subscribers that may have a lease from this relay. False until one lease duration
+    /// has passed since the start, as an earlier process may have served other subscribers.
     pub complete: bool,
-    /// The subscribers that have polled this relay.
+    /// The subscribers that have polled the reporting relay.
     pub subscribers: Vec<SubscriberReport>,
 }
 
-/// A subscriber as a relay knows it.
+/// The state of a subscriber as known to a relay.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SubscriberReport {
-    /// Its name.
+    /// The name of the subscriber.
     pub name: String,
-    /// Its latest known process.
+    /// The latest known incarnation of the subscriber.
     pub incarnation: u64,
-    /// It has acknowledged the events up to here.
+    /// The offset up to which the subscriber has acknowledged events.
     pub offset: Offset,
-    /// Milliseconds since its last poll was received.
+    /// The time since the subscriber's last poll was received, in milliseconds.
     pub silent_ms: u64,
-    /// The relay that received it.
+    /// The relay that received the last poll.
     pub via: String,
 }
 
-/// Why an event is complete.
+/// The reason why an event is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CompletionReason {
-    /// All subscribers have applied it.
+    /// All subscribers have applied the event.
     Acknowledged,
-    /// The lease of each subscriber that has not applied it has expired, so that it uses no older copies.
+    /// The lease of each subscriber that has not applied the event has expired, so that it uses no older copies.
     #[serde(rename = "lease_over")]
     LeasesExpired,
 }
 
-/// An event is complete: no subscriber uses copies that the events up to it have purged.
+/// The completion of an event: no subscriber uses copies that were purged by events up to this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Completion {
-    /// The event.
+    /// The offset of the event.
     pub offset: Offset,
-    /// Why it is complete.
+    /// The reason why the event is complete.
     #[serde(rename = "by")]
     pub reason: CompletionReason,
-    /// Milliseconds since this relay knows of it.
+    /// The time from when this relay received the event to this report, or to lease expiry, in milliseconds.
     #[serde(rename = "took_ms")]
     pub elapsed_ms: u64,
 }
 
-/// A relay's state for operators.
+/// The status of a relay, for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Status {
-    /// The relay's name.
+    /// The name of the relay.
     pub relay: String,
-    /// The feed to which the offsets belong, where it has an identity.
+    /// The feed to which the offsets belong, if it has an identity.
     pub feed: Option<FeedId>,
-    /// The last event that the relay knows.
+    /// The offset of the last event that the relay knows.
     pub offset: Offset,
-    /// How many milliseconds ago the relay knew itself current; `None` before its first answer.
+    /// The time since the relay's last proof of freshness, in milliseconds; `None` before its first answer.
     pub age_ms: Option<u64>,
-    /// The last event that is complete.
+    /// The offset of the last complete event.
     pub watermark: Offset,
     /// Whether all subscribers that may have a lease from this relay are known.
     pub complete: bool,
-    /// Sessions that are admitted.
+    /// The number of admitted sessions.
     pub sessions: usize,
-    /// Polls that wait for their answer.
+    /// The number of pending polls.
     #[serde(rename = "held_polls")]
     pub pending_polls: usize,
-    /// Snapshots sent since the start.
+    /// The number of snapshots sent since the start.
     pub snapshots: u64,
-    /// The log stores all events after this one.
+    /// The offset after which the log contains all events.
     pub log_base: Offset,
-    /// Events in the log.
+    /// The number of events in the log.
     pub log_events: usize,
-    /// Stores in the endpoint list.
+    /// The number of stores in the endpoint list.
     pub stores: usize,
-    /// Purges stored one by one.
+    /// The number of purges that are stored individually.
     pub purges: usize,
-    /// Slices with a floor from folded purges.
+    /// The number of slices with a purge floor.
     pub purge_floors: usize,
-    /// Known subscribers, whichever relay they poll.
+    /// The number of known subscribers, of all relays.
     pub subscribers: usize,
-    /// The other relays.
+    /// The state of the peer relays.
     pub peers: Vec<PeerStatus>,
-    /// Some subscribers that have not acknowledged all events, the furthest behind first.
+    /// The subscribers that are furthest behind in acknowledging events, the furthest first; limited in number.
     pub lagging: Vec<SubscriberReport>,
 }
 
-/// Another relay, as its last report says.
+/// The state of a peer relay according to its last report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct PeerStatus {
-    /// Its name.
+    /// The name of the peer relay.
     pub relay: String,
-    /// Milliseconds since its last report; `None` if there was none.
+    /// The time since the peer's last report, in milliseconds; `None` if there was none.
     pub silent_ms: Option<u64>,
-    /// The last event that it knew then.
+    /// The offset of the last event that the peer knew at its last report.
     pub offset: Option<Offset>,
 }
--- a/crates/feed/src/relay/reporting.rs
+++ b/crates/feed/src/relay/reporting.rs
@@ -1,15 +1,15 @@
-//! What a relay reports of itself to other relays and to operators.
+//! Creates the reports of a relay to its peers, and its status for operators.
 
 use super::Relay;
 use super::report::{Completion, Report, Status, SubscriberReport};
 use crate::{MILLISECOND, Micros, Offset};
 use std::cmp::Reverse;
 
-/// How many subscribers a status names.
+/// The maximum number of lagging subscribers in a status.
 const MAX_LAGGING_REPORTED: usize = 16;
 
 impl Relay {
-    /// The report to the other relays.
+    /// Creates the report to the peer relays.
     pub fn report(&self, now: Micros) -> Report {
         Report {
             relay: self.settings.name.clone(),
@@ -21,13 +21,14 @@
         }
     }
 
-    /// The state for operators.
+    /// Returns the status for operators.
     pub fn status(&self, now: Micros) -> Status {
         let subscribers: Vec<SubscriberReport> = self.watermark.subscribers(now).collect();
         let count = subscribers.len();
         let last = self.log.last_offset();
-        let mut lagging: Vec<_> = subscribers.into_iter().filter(|one| one.offset < last).collect();
-        lagging.sort_by_key(|one| (one.offset, Reverse(one.silent_ms)));
+        let mut lagging: Vec<_> =
+            subscribers.into_iter().filter(|subscriber| subscriber.offset < last).collect();
+        lagging.sort_by_key(|subscriber| (subscriber.offset, Reverse(subscriber.silent_ms)));
         lagging.truncate(MAX_LAGGING_REPORTED);
         Status {
             relay: self.settings.name.clone(),
@@ -55,7 +56,7 @@
         self.watermark.completion(now, offset)
     }
 
-    /// How long ago this relay knew itself current, rounded up.
+    /// The time since this relay's last proof of freshness, in milliseconds, rounded up.
     pub(super) fn age_ms(&self, now: Micros) -> Option<u64> {
         self.as_of.map(|as_of| now.saturating_sub(as_of).div_ceil(MILLISECOND))
     }
--- a/crates/feed/src/relay/settings.rs
+++ b/crates/feed/src/relay/settings.rs
@@ -1,38 +1,38 @@
-//! The limits and times of a relay, with their defaults.
+//! The settings of a relay and their defaults.
 
 use crate::{MILLISECOND, Micros, PerMille};
 
 /// The settings of a relay.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Its name among the relays.
+    /// The name of the relay, unique among the relays.
     pub name: String,
-    /// The names of all other relays: without a report of each, events are complete only once leases have expired.
+    /// The names of all peer relays. Without a report of each, events become complete only by lease expiry.
     pub peers: Vec<String>,
-    /// For how long purges are gathered before pending polls are answered.
+    /// How long purges are batched before pending polls are answered.
     pub batch_delay: Micros,
-    /// The hold that this relay's own polls request, for its own subscription.
+    /// The hold that this relay requests in its polls of the upstream.
     pub upstream_hold: Micros,
-    /// How long a freshness lease lasts.
+    /// The duration of a freshness lease.
     pub lease: Micros,
-    /// By how much clocks may run fast or slow, in thousandths.
+    /// The maximum drift of clocks, in thousandths.
     pub drift_per_mille: PerMille,
-    /// For how long purges are part of snapshots: longer than any copy is used.
+    /// How long purges are part of snapshots, which must be longer than any copy is used.
     pub purge_retention: Micros,
-    /// How many purges are stored one by one; older ones are folded into floors.
+    /// The maximum number of purges that are stored individually; older ones are folded into floors.
     pub max_purges: usize,
-    /// How many events the log stores.
+    /// The maximum number of events in the log.
     pub max_log_events: usize,
-    /// How many sessions may poll.
+    /// The maximum number of sessions.
     pub max_sessions: usize,
-    /// How many sessions of one client address may poll.
+    /// The maximum number of sessions of one client address.
     pub max_sessions_per_address: usize,
-    /// A subscriber that has not polled for longer than this is forgotten.
+    /// How long a subscriber that does not poll is remembered.
     pub forget_after: Micros,
 }
 
 impl Settings {
-    /// The defaults for a relay among these peers.
+    /// Returns the default settings for a relay with these peers.
     pub fn new(name: &str, peers: Vec<String>) -> Settings {
         Settings {
             name: name.to_owned(),
--- a/crates/feed/src/relay/topology.rs
+++ b/crates/feed/src/relay/topology.rs
@@ -1,13 +1,13 @@
-//! The endpoint list, built from the bus's complete lists and changes.
+//! The endpoint list, built from complete lists and changes.
 
 use serde::Deserialize;
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
 
-/// How many stores a list may have.
+/// The maximum number of stores in an endpoint list.
 pub const MAX_STORES: usize = 16_384;
 
-/// A line of the list as gateways read it. They ignore an event with a line that they can't read, and so does a relay.
+/// An entry of the list as gateways parse it. Gateways and relays ignore an event with an entry that can't be parsed.
 #[derive(Deserialize)]
 struct Instance {
     #[serde(rename = "instanceId")]
@@ -27,25 +27,26 @@
     _started_at_ms: u64,
 }
 
-/// The stores that there are. A store that is missing in a complete list is gone.
+/// The current stores. A store that is missing from a complete list is removed.
 #[derive(Clone, Debug, Default)]
 pub struct Topology {
     instances: BTreeMap<String, Value>,
-    /// The fields beside the lines, from the latest event.
+    /// The fields of the latest event other than the entries.
     other: Map<String, Value>,
     is_known: bool,
 }
 
 impl Topology {
-    /// The list after an event, or `None` if gateways ignore the event. A first list, and one that says so, is complete.
+    /// Returns the list after an event, or `None` if gateways ignore the event. A first list is complete, and so is one
+    /// with `reset`.
     pub fn apply(&self, event: &Value, first: bool) -> Option<Topology> {
         let event = event.as_object()?;
         let reset = match event.get("reset") {
             None => false,
             Some(reset) => reset.as_bool()?,
         };
-        let complete = reset || first || !self.is_known;
-        let instances = if complete { BTreeMap::new() } else { self.instances.clone() };
+        let is_complete = reset || first || !self.is_known;
+        let instances = if is_complete { BTreeMap::new() } else { self.instances.clone() };
         let mut topology = Topology { instances, other: event.clone(), is_known: true };
         topology.other.remove("reset");
         let changed = match topology.other.remove("instances") {
@@ -59,7 +60,7 @@
         Some(topology)
     }
 
-    /// The complete list in the form of an event, if there has been one.
+    /// The complete list as an event; `None` before the first list.
     pub fn to_event(&self) -> Option<Value> {
         let mut event = self.is_known.then(|| self.other.clone())?;
         event.insert("reset".to_owned(), json!(true));
@@ -76,7 +77,7 @@
         if matches!(lifecycle.as_str(), "up" | "draining") {
             self.instances.insert(id, instance);
         } else {
-            // A store in any other state counts as gone.
+            // A store in any other state is removed from the list.
             self.instances.remove(&id);
         }
         Some(())
--- a/crates/feed/src/relay/upstream.rs
+++ b/crates/feed/src/relay/upstream.rs
@@ -1,4 +1,4 @@
-//! Applies the answers of the bus, or of the relay above, to the relay's state.
+//! Applies the answers of the upstream, which is the event bus or another relay, to the state of a relay.
 
 use super::Relay;
 use super::topology::{MAX_STORES, Topology};
@@ -7,30 +7,30 @@
 use crate::{Micros, Offset};
 use thiserror::Error;
 
-/// Why an answer of the bus, or of the relay above, is rejected. Nothing of it has been applied.
+/// Why an answer of the upstream is rejected. No event of it has been applied.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum UpstreamAnswerError {
-    /// Offsets must not go back within a batch.
-    #[error("event {offset} comes after event {after}")]
+    /// An offset is lower than the one before it in the batch.
+    #[error("events are out of order: event {offset} follows event {after}")]
     OutOfOrder {
         /// The offset of the event that is out of order.
         offset: Offset,
-        /// The larger offset before it.
+        /// The higher offset before it.
         after: Offset,
     },
-    /// An event is beyond the answer's own offset.
-    #[error("event {offset} in an answer that ends with {answer_offset}")]
+    /// The offset of an event exceeds that of the answer.
+    #[error("event {offset} exceeds the offset of the answer, {answer_offset}")]
     BeyondAnswer {
         /// The offset of the event.
         offset: Offset,
-        /// The offset that the answer states as its last.
+        /// The offset of the answer.
         answer_offset: Offset,
     },
-    /// The endpoint list would have this many stores, more than a relay keeps.
-    #[error("{0} stores, more than {MAX_STORES}")]
+    /// The endpoint list would have this many stores, which exceeds [`MAX_STORES`].
+    #[error("the endpoint list has {0} stores; the maximum is {MAX_STORES}")]
     TooManyStores(usize),
-    /// An event can't be written as JSON.
-    #[error("event {offset} can't be written as JSON")]
+    /// An event can't be encoded as JSON.
+    #[error("event {offset} can't be encoded as JSON")]
     NotEncodable {
         /// The offset of the event.
         offset: Offset,
@@ -38,15 +38,15 @@
 }
 
 impl Relay {
-    /// Applies an answer from above that the relay's own subscription has accepted.
+    /// Applies an answer of the upstream that the relay's own subscription has accepted.
     ///
     /// `as_of` is [`Subscription::unapplied_as_of`](crate::subscription::Subscription::unapplied_as_of), or for
-    /// [`AcceptedAnswer::NoNewEvents`] the lease's [`as_of`](crate::lease::Lease::as_of) after the answer. After an error
-    /// the subscription is to be informed by
+    /// [`AcceptedAnswer::NoNewEvents`] the lease's [`as_of`](crate::lease::Lease::as_of) after the answer. After an
+    /// error the caller reports the failure to the subscription as
     /// [`PollFailure::InvalidAnswer`](crate::subscription::PollFailure::InvalidAnswer).
     ///
     /// # Errors
-    /// [`UpstreamAnswerError`] for an answer that can't be applied; nothing of it is then.
+    /// [`UpstreamAnswerError`] if the answer can't be applied; the state is unchanged.
     pub fn apply_upstream_answer(
         &mut self,
         now: Micros,
@@ -71,14 +71,14 @@
     fn apply_changes(&mut self, now: Micros, answer: &Answer) -> Result<(), UpstreamAnswerError> {
         check_offsets(answer)?;
         let known = self.log.last_offset();
-        let fresh: Vec<&RawEvent> = answer.batch.iter().filter(|event| event.offset > known).collect();
-        let topology = self.topology_after(&fresh, false)?;
+        let new_events: Vec<&RawEvent> = answer.batch.iter().filter(|event| event.offset > known).collect();
+        let topology = self.topology_after(&new_events, false)?;
         let encode = |event: &&RawEvent| {
             serde_json::to_string(event)
                 .map_err(|_| UpstreamAnswerError::NotEncodable { offset: event.offset })
         };
-        let encoded = fresh.iter().map(encode).collect::<Result<Vec<_>, _>>()?;
-        for (event, json) in fresh.iter().zip(encoded) {
+        let encoded = new_events.iter().map(encode).collect::<Result<Vec<_>, _>>()?;
+        for (event, json) in new_events.iter().zip(encoded) {
             self.log.push(event.offset, json);
             self.add_purge(now, event);
         }
@@ -86,10 +86,10 @@
         self.encoded_snapshot.take();
         self.log.advance(answer.head.offset);
         if self.log.last_offset() > known {
-            // Endpoint lists and events of unknown kinds are sent at once; purges are gathered.
-            let only_purges = !fresh.is_empty() && fresh.iter().all(|event| is_purge_only(event));
-            let wait = if only_purges { self.settings.batch_delay } else { 0 };
-            self.schedule_flush(now.saturating_add(wait));
+            // Endpoint lists and events of unknown kinds are sent immediately; purges are batched.
+            let only_purges = !new_events.is_empty() && new_events.iter().all(|event| is_purge_only(event));
+            let delay = if only_purges { self.settings.batch_delay } else { 0 };
+            self.schedule_flush(now.saturating_add(delay));
         }
         Ok(())
     }
@@ -109,13 +109,13 @@
         Ok(())
     }
 
-    /// The endpoint list after these events. In a snapshot the first list replaces the known one.
+    /// Returns the endpoint list after these events. In a snapshot the first list replaces the known one.
     fn topology_after(&self, events: &[&RawEvent], snapshot: bool) -> Result<Topology, UpstreamAnswerError> {
         let mut topology = self.topology.clone();
         let mut first = snapshot;
         for change in events.iter().filter_map(|event| event.topology.as_ref()) {
-            if let Some(after) = topology.apply(change, first) {
-                topology = after;
+            if let Some(changed) = topology.apply(change, first) {
+                topology = changed;
                 first = false;
             }
         }
--- a/crates/feed/src/relay/watermark.rs
+++ b/crates/feed/src/relay/watermark.rs
@@ -1,5 +1,5 @@
-//! The watermark: the last event that is complete, that is either applied by every subscriber, or older than every
-//! freshness lease that was granted without it.
+//! The watermark: the offset of the last complete event. An event is complete once every subscriber has applied it, or
+//! once every freshness lease that was granted without it has expired.
 
 use super::Settings;
 use super::acknowledgements::{Acknowledgement, Acknowledgements, MAX_SUBSCRIBERS, Subscriber, silent_ms};
@@ -8,11 +8,11 @@
 use crate::{MILLISECOND, Micros, Offset, lease};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Offsets remembered with the time at which they became known: there are some ten a second, and each is dropped after
-/// a lease.
+/// The maximum number of offsets stored with the time at which they became known. There are about ten per second, each
+/// stored for one lease duration.
 const MAX_KNOWN_OFFSETS: usize = 1_024;
 
-/// What another relay reported last.
+/// The last report of a peer relay.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct PeerReport {
     received_at: Micros,
@@ -21,36 +21,36 @@
     complete: bool,
 }
 
-/// When events up to an offset became known.
+/// An offset, and the time at which events up to it became known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct KnownOffset {
     offset: Offset,
     known_since: Micros,
 }
 
-/// Acknowledgements of one feed, and the times from which the leases granted without an event are counted.
+/// The acknowledgements of one feed, and the times from which the leases granted without an event are counted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Watermark {
     name: String,
     peers: BTreeMap<String, Option<PeerReport>>,
     acknowledgements: Acknowledgements,
-    /// After this time a lease granted before has expired everywhere, on a clock that may be fast.
+    /// The duration after which a lease has expired at every subscriber, on a clock that may be fast.
     lease_expiry: Micros,
-    /// Who was served by an earlier process of this relay is not known before this time, unless it has polled since.
+    /// The time before which subscribers served by an earlier process of this relay may be unknown.
     complete_after: Micros,
     feed: Option<FeedId>,
     last_offset: Offset,
-    /// The oldest first. Offsets whose leases have expired are left out.
+    /// The known offsets, the oldest first, without those whose leases have expired.
     known_offsets: VecDeque<KnownOffset>,
-    /// All leases granted without the events up to here have expired.
+    /// The offset up to which all leases granted without the events have expired.
     expired_offset: Offset,
 }
 
 impl Watermark {
-    /// A relay's watermark at its start.
+    /// Creates the watermark of a relay that starts now.
     pub fn new(settings: &Settings, now: Micros) -> Watermark {
         let lease_expiry = lease::expired_everywhere_after(settings.lease, settings.drift_per_mille);
-        // A subscriber that may have a lease must not be forgotten.
+        // A subscriber must be remembered as long as it may have a lease.
         let forget_after = settings.forget_after.max(lease_expiry);
         Watermark {
             name: settings.name.clone(),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Events up to `offset` of this feed are known here from now on.
+    /// Records that this relay knows the events of the feed up to `offset` from now on.
     pub fn record_known(&mut self, now: Micros, feed: Option<&FeedId>, offset: Offset) {
         if self.feed.as_ref() != feed {
             self.start_feed(feed);
@@ -76,20 +76,20 @@
         }
         self.last_offset = offset;
         if self.known_offsets.len() >= MAX_KNOWN_OFFSETS {
-            // Those before count as known later than they were: complete later, never too early.
+            // The removed offset counts as known at the later time of the new one: it completes later, never too early.
             self.known_offsets.pop_back();
         }
         self.known_offsets.push_back(KnownOffset { offset, known_since: now });
     }
 
-    /// A subscriber has polled here: it has applied the events up to `offset` of the present feed.
+    /// Records a poll of this relay: the subscriber has applied the events of the current feed up to `offset`.
     pub fn acknowledge(&mut self, now: Micros, identity: &Identity, offset: Offset) {
         let acknowledgement =
             Acknowledgement { identity, offset, last_seen: now, via: &self.name, polled_here: true };
         self.acknowledgements.record(now, acknowledgement);
     }
 
-    /// Applies another relay's report. False, and of no effect, if it is none of the configured ones.
+    /// Applies the report of a peer relay. Returns false, without any effect, if the peer is not configured.
     pub fn apply_peer_report(&mut self, now: Micros, peer: &str, report: &Report) -> bool {
         let Some(known) = self.peers.get_mut(peer) else { return false };
         *known = Some(PeerReport {
@@ -121,7 +121,8 @@
             let elapsed_ms = self.lease_expiry / MILLISECOND;
             return Some(Completion { offset, reason: CompletionReason::LeasesExpired, elapsed_ms });
         }
-        let acknowledged = self.acknowledged_offset(now).is_some_and(|all| all >= offset);
+        let acknowledged =
+            self.acknowledged_offset(now).is_some_and(|acknowledged_offset| acknowledged_offset >= offset);
         let elapsed_ms = elapsed / MILLISECOND;
         acknowledged.then_some(Completion { offset, reason: CompletionReason::Acknowledged, elapsed_ms })
     }
@@ -134,23 +135,23 @@
         expired_offset.max(self.acknowledged_offset(now).unwrap_or(0))
     }
 
-    /// Drops offsets whose leases have expired, and subscribers that have been silent for too long.
+    /// Drops the offsets whose leases have expired, and the subscribers that have not polled for too long.
     pub fn expire(&mut self, now: Micros) {
         self.expire_known_offsets(now);
         self.acknowledgements.expire(now);
     }
 
-    /// Removes a subscriber that an operator says is gone. False if none was known by this name.
+    /// Removes a subscriber that an operator has declared gone. Returns false if the name is unknown.
     pub fn forget(&mut self, name: &str) -> bool {
         self.acknowledgements.forget(name)
     }
 
-    /// Whether all subscribers that may have a lease from here are known.
+    /// Whether all subscribers that may have a lease from this relay are known.
     pub fn knows_all_subscribers(&self, now: Micros) -> bool {
         now >= self.complete_after && self.acknowledgements.is_complete(now)
     }
 
-    /// The subscribers that have polled here, for the other relays. What those reported is not passed on.
+    /// The subscribers that have polled this relay, for its report to peers. Reports of peers are not forwarded.
     pub fn own_subscribers(&self, now: Micros) -> Vec<SubscriberReport> {
         let own = |(name, subscriber): (&str, &Subscriber)| {
             Some(SubscriberReport {
@@ -164,7 +165,7 @@
         self.acknowledgements.present(now).filter_map(own).collect()
     }
 
-    /// All known subscribers, whichever relay they polled last.
+    /// All known subscribers, including those that polled only peer relays.
     pub fn subscribers(&self, now: Micros) -> impl Iterator<Item = SubscriberReport> + '_ {
         self.acknowledgements.present(now).map(move |(name, subscriber)| SubscriberReport {
             name: name.to_owned(),
@@ -175,7 +176,7 @@
         })
     }
 
-    /// The configured relays, with what each reported last.
+    /// The state of the configured peer relays.
     pub fn peer_statuses(&self, now: Micros) -> Vec<PeerStatus> {
         let status = |(name, report): (&String, &Option<PeerReport>)| PeerStatus {
             relay: name.clone(),
@@ -185,7 +186,7 @@
         self.peers.iter().map(status).collect()
     }
 
-    /// The offset that all subscribers have acknowledged; `None` while some relay may not know all of its subscribers.
+    /// The offset that all subscribers have acknowledged; `None` while a relay may not know all of its subscribers.
     fn acknowledged_offset(&self, now: Micros) -> Option<Offset> {
         if !self.knows_all_subscribers(now) {
             return None;
@@ -193,14 +194,14 @@
         let own = self.acknowledgements.lowest_offset(now).unwrap_or(self.last_offset);
         let mut lowest = own.min(self.last_offset);
         for report in self.peers.values() {
-            // A report from before an event was known there may lack subscribers that have polled there since.
+            // A report sent before the peer knew an event may lack subscribers that have polled the peer since.
             let report = report.as_ref().filter(|report| report.complete && report.feed == self.feed)?;
             lowest = lowest.min(report.offset);
         }
         Some(lowest)
     }
 
-    /// Offsets of different feeds can't be compared: all that were known are void.
+    /// Starts another feed: known offsets are no longer valid, as offsets of different feeds can't be compared.
     fn start_feed(&mut self, feed: Option<&FeedId>) {
         self.feed = feed.cloned();
         self.acknowledgements.reset_offsets();
--- a/crates/feed/src/subscription.rs
+++ b/crates/feed/src/subscription.rs
@@ -1,8 +1,8 @@
-//! A subscriber's side of the feed: which relay is polled when, what an answer contains, and the freshness lease.
+//! The subscriber side of the feed: selects the relay to poll, classifies answers and renews the freshness lease.
 //!
 //! The caller calls [`Subscription::next_step`], sends the poll, and reports the result by
-//! [`Subscription::poll_answered`] or [`Subscription::poll_failed`]. It applies the events of an accepted answer and only then
-//! calls [`Subscription::events_applied`]: the next poll acknowledges them.
+//! [`Subscription::poll_answered`] or [`Subscription::poll_failed`]. It applies the events of an accepted answer and
+//! only then calls [`Subscription::events_applied`]: the next poll acknowledges them.
 
 mod backoff;
 mod outcome;
@@ -17,12 +17,12 @@
 pub use outcome::{AcceptedAnswer, PollFailure, RejectedAnswer, Step};
 pub use settings::Settings;
 
-/// By how much an answer's offset may lead the known one, without a snapshot: otherwise one wrong answer could make the
-/// subscriber ignore all later events.
+/// The maximum distance between the known offset and that of an answer without a snapshot: without a limit, one wrong
+/// answer could make the subscriber ignore all later events.
 pub const MAX_OFFSET_LEAP: Offset = 1 << 32;
-/// No offset is beyond this, also not in a first answer or a snapshot.
+/// The largest valid offset, also in a first answer or a snapshot.
 pub const MAX_OFFSET: Offset = 1 << 62;
-/// After this many consecutive answers that do not keep the lease valid, the next relay is polled.
+/// The number of consecutive answers that do not keep the lease valid after which the subscriber polls the next relay.
 pub const MAX_STALE_ANSWERS: u32 = 2;
 
 /// An accepted answer whose events have not been applied yet.
@@ -33,38 +33,39 @@
     as_of: Option<Micros>,
 }
 
-/// One subscriber.
+/// The state of one subscriber.
 #[derive(Clone, Debug)]
 pub struct Subscription {
     settings: Settings,
-    /// Indices of relays, the preferred one first.
+    /// The indices of the relays, in the order in which they are polled; the preferred one is first.
     order: Vec<usize>,
-    /// The index in `order` of the relay that is polled.
+    /// The index in `order` of the current relay.
     current: usize,
-    /// The times, by index in `order`, before which relays must not be polled again.
+    /// The earliest time at which each relay may be polled again, by index in `order`.
     not_before: Vec<Micros>,
     backoff: Backoff,
     lease: Lease,
-    /// Events up to here have been applied.
+    /// The offset up to which events have been applied.
     offset: Offset,
     feed: Option<FeedId>,
-    /// An answer has been accepted: its feed is the one followed.
+    /// Whether an answer has been accepted, so that its feed is followed.
     is_following: bool,
-    /// The next poll requests a snapshot.
+    /// Whether the next poll requests a snapshot.
     request_snapshot: bool,
     unapplied: Option<UnappliedAnswer>,
     wait_until: Micros,
-    /// The current relay has answered: its polls may request a hold.
+    /// Whether the current relay has answered, so that polls to it may request a hold.
     current_has_answered: bool,
     stale_answers: u32,
-    /// When the preferred relay is polled again.
+    /// When the subscriber retries the preferred relay.
     retry_preferred_at: Option<Micros>,
     /// The index in `order` to return to if the preferred relay fails again.
     fallback: Option<usize>,
 }
 
 impl Subscription {
-    /// A subscriber without any state. Subscribers need different seeds, so that their polls are spread.
+    /// Creates a subscriber that has applied no events. Subscribers need different seeds to spread their polls over
+    /// time.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Subscription {
         let order = relay_order::relay_order(&settings.name, &settings.relays, settings.preferred);
         Subscription {
@@ -87,7 +88,8 @@
         }
     }
 
-    /// What to do now. A poll is in flight until [`Subscription::poll_answered`] or [`Subscription::poll_failed`].
+    /// Returns what the caller is to do now. A poll is in flight until [`Subscription::poll_answered`] or
+    /// [`Subscription::poll_failed`] is called.
     pub fn next_step(&mut self, now: Micros) -> Step {
         if now < self.wait_until || self.order.is_empty() {
             return Step::Wait { until: self.wait_until.max(now.saturating_add(MILLISECOND)) };
@@ -96,18 +98,18 @@
         let relay = self.order[self.current];
         let hold = self.hold();
         let timeout = if self.settings.plain_bus {
-            self.backoff.plain_answer_timeout()
+            self.backoff.plain_bus_answer_timeout()
         } else {
             self.backoff.answer_timeout(hold)
         };
         Step::Poll { relay, poll: self.poll(hold), timeout }
     }
 
-    /// A poll sent at `sent` has been answered. Events of an accepted answer are to be applied before
-    /// [`Subscription::events_applied`] is called.
+    /// Handles the answer to the poll that was sent at `sent`. The caller applies the events of an accepted answer and
+    /// then calls [`Subscription::events_applied`].
     ///
     /// # Errors
-    /// [`RejectedAnswer`] for an answer whose events must not be applied; the next step polls another relay.
+    /// [`RejectedAnswer`] if the events of the answer must not be applied; the next step polls another relay.
     pub fn poll_answered(
         &mut self,
         now: Micros,
@@ -125,7 +127,7 @@
             return Ok(accepted);
         }
         if head.offset < self.offset && accepted == AcceptedAnswer::NoNewEvents {
-            // A relay that is behind proves nothing about later events.
+            // A relay that is behind the subscriber proves nothing about later events.
             self.answer_was_stale(now);
             return Ok(accepted);
         }
@@ -137,15 +139,17 @@
         Ok(accepted)
     }
 
-    /// The time up to which all events are known once the answer accepted last is applied; `None` if it proves nothing.
+    /// The time up to which all events are known once the latest accepted answer has been applied; `None` if that
+    /// answer proves no freshness.
     pub fn unapplied_as_of(&self) -> Option<Micros> {
         self.unapplied.as_ref().and_then(|answer| answer.as_of)
     }
 
-    /// The events of the answer accepted last have been applied: the next poll acknowledges them, and the lease is renewed.
+    /// Records that the events of the latest accepted answer have been applied: renews the lease, and lets the next
+    /// poll acknowledge the events.
     pub fn events_applied(&mut self, now: Micros) {
         let Some(UnappliedAnswer { offset, feed, as_of }) = self.unapplied.take() else { return };
-        let progress = offset != self.offset;
+        let offset_changed = offset != self.offset;
         self.offset = offset;
         self.feed = feed;
         self.is_following = true;
@@ -159,25 +163,26 @@
             Some(_) if self.lease.until().is_some_and(|until| until > next_answer_due) => {
                 self.answer_renewed_lease(now);
             }
-            // Only a part of the new events: the rest comes with the next answer.
-            None if progress => {}
+            // The answer contains only some of the new events; the next one contains the others.
+            None if offset_changed => {}
             _ => self.answer_was_stale(now),
         }
     }
 
-    /// A poll has failed.
+    /// Handles the failure of a poll.
     pub fn poll_failed(&mut self, now: Micros, failure: PollFailure) {
         self.unapplied = None;
         if self.settings.plain_bus {
-            let pause = if failure == PollFailure::ConnectionLost { 0 } else { self.backoff.plain_backoff() };
-            self.wait_until = now.saturating_add(pause);
+            let delay =
+                if failure == PollFailure::ConnectionLost { 0 } else { self.backoff.plain_bus_delay() };
+            self.wait_until = now.saturating_add(delay);
             return;
         }
         let retry_after = match failure {
-            // Once: the next failure is one of a new connection.
+            // Reconnects only once: the next failure is that of a new connection.
             PollFailure::ConnectionLost if self.current_has_answered => {
                 self.current_has_answered = false;
-                self.wait_until = now.saturating_add(self.backoff.reconnect());
+                self.wait_until = now.saturating_add(self.backoff.reconnect_delay());
                 return;
             }
             PollFailure::Refused { retry_after } => retry_after,
@@ -189,17 +194,17 @@
         self.switch_relay(now, retry_after);
     }
 
-    /// The freshness lease. It means nothing for a plain bus.
+    /// The freshness lease. It is not meaningful for a plain bus.
     pub fn lease(&self) -> &Lease {
         &self.lease
     }
 
-    /// Events up to here have been applied.
+    /// The offset up to which events have been applied.
     pub fn offset(&self) -> Offset {
         self.offset
     }
 
-    /// The feed that is followed, where it has an identity.
+    /// The feed that is followed, if it has an identity.
     pub fn feed(&self) -> Option<&FeedId> {
         self.feed.as_ref()
     }
@@ -208,7 +213,7 @@
         match self.settings.plain_bus {
             true if self.is_following => backoff::PLAIN_BUS_HOLD,
             false if self.current_has_answered => self.settings.hold,
-            // The first answer is wanted at once, also if there is no new event.
+            // The first poll of a relay is answered immediately, even without new events.
             _ => 0,
         }
     }
@@ -223,12 +228,13 @@
         Poll { from, hold_ms, feed, identity: Some(identity) }
     }
 
-    /// What an answer contains. One that is behind counts as without new events: offsets never go back.
+    /// Classifies an answer. One with a lower offset than the known one counts as without new events: offsets never
+    /// decrease.
     fn classify(&self, head: &Head) -> Result<AcceptedAnswer, RejectedAnswer> {
         let (known, received) = (self.offset, head.offset);
         if self.settings.plain_bus {
-            let changes = AcceptedAnswer::NewEvents { after: known };
-            return Ok(if received > known { changes } else { AcceptedAnswer::NoNewEvents });
+            let new_events = AcceptedAnswer::NewEvents { after: known };
+            return Ok(if received > known { new_events } else { AcceptedAnswer::NoNewEvents });
         }
         if received > MAX_OFFSET {
             return Err(RejectedAnswer::OffsetLeap { known, received });
@@ -258,7 +264,8 @@
         })
     }
 
-    /// Counted from the sending of the poll: events from while the answer was in flight may be missing in it.
+    /// The time up to which the answer contains all events, counted from when the poll was sent: events published while
+    /// the answer was in flight may be missing from it.
     fn as_of(&self, sent: Micros, head: &Head) -> Option<Micros> {
         let age_ms = head.age_ms.or(self.settings.direct_bus.then_some(0))?;
         match age_ms.saturating_mul(MILLISECOND) {
@@ -292,15 +299,16 @@
         }
     }
 
-    /// Polls the next relay after a backoff, or at once the previous one if the preferred relay has failed again.
+    /// Switches to the next relay after a backoff, or immediately to the previous one if the preferred relay has failed
+    /// again.
     fn switch_relay(&mut self, now: Micros, retry_after: Option<Micros>) {
         if self.order.is_empty() {
             return;
         }
         let remaining_lease = self.remaining_lease(now);
         if let Some(retry_after) = retry_after {
-            let rest = self.backoff.retry_after(retry_after, remaining_lease, self.settings.lease);
-            self.not_before[self.current] = now.saturating_add(rest);
+            let delay = self.backoff.retry_after(retry_after, remaining_lease, self.settings.lease);
+            self.not_before[self.current] = now.saturating_add(delay);
         }
         self.current_has_answered = false;
         self.stale_answers = 0;
@@ -310,20 +318,23 @@
             self.wait_until = now;
             return;
         }
-        let pause = self.backoff.after_failure(remaining_lease);
-        self.current = self.next_relay(now.saturating_add(pause));
-        self.wait_until = now.saturating_add(pause).max(self.not_before[self.current]);
+        let delay = self.backoff.failure_delay(remaining_lease);
+        self.current = self.next_relay(now.saturating_add(delay));
+        self.wait_until = now.saturating_add(delay).max(self.not_before[self.current]);
     }
 
-    /// The next relay in order that may be polled at that time; otherwise the one that may be polled first.
-    fn next_relay(&self, then: Micros) -> usize {
+    /// The index in `order` of the next relay that may be polled at `poll_time`; otherwise of the one that may be
+    /// polled earliest.
+    fn next_relay(&self, poll_time: Micros) -> usize {
         let count = self.order.len();
-        let turns = (1..=count).map(|step| (self.current + step) % count);
-        turns.min_by_key(|turn| self.not_before[*turn].max(then)).unwrap_or(0)
+        let candidates = (1..=count).map(|step| (self.current + step) % count);
+        candidates.min_by_key(|candidate| self.not_before[*candidate].max(poll_time)).unwrap_or(0)
     }
 
     fn retry_preferred_relay(&mut self, now: Micros) {
-        if self.current == 0 || self.retry_preferred_at.is_none_or(|at| now < at) || now < self.not_before[0]
+        if self.current == 0
+            || self.retry_preferred_at.is_none_or(|retry_at| now < retry_at)
+            || now < self.not_before[0]
         {
             return;
         }
@@ -334,10 +345,10 @@
         self.stale_answers = 0;
     }
 
-    /// When the preferred relay is polled again, with jitter of a quarter.
+    /// The time of the next retry of the preferred relay, with jitter of up to a quarter of the interval.
     fn next_preferred_retry(&mut self, now: Micros) -> Micros {
-        let after = self.settings.retry_preferred_after;
-        now.saturating_add(self.backoff.random_between(after, after.saturating_add(after / 4)))
+        let interval = self.settings.retry_preferred_after;
+        now.saturating_add(self.backoff.random_between(interval, interval.saturating_add(interval / 4)))
     }
 
     fn remaining_lease(&self, now: Micros) -> Micros {
--- a/crates/feed/src/subscription/outcome.rs
+++ b/crates/feed/src/subscription/outcome.rs
@@ -1,72 +1,72 @@
-//! What a subscriber is to do next, and what becomes of its polls.
+//! The next step of a subscriber, and the outcomes of its polls.
 
 use crate::message::{FeedId, Poll};
 use crate::{Micros, Offset};
 use thiserror::Error;
 
-/// What to do next.
+/// The next step of a subscriber.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Send a poll.
     Poll {
-        /// The index in [`Settings::relays`](super::Settings::relays) of the relay that is polled.
+        /// The index in [`Settings::relays`](super::Settings::relays) of the relay to poll.
         relay: usize,
-        /// The poll.
+        /// The poll to send.
         poll: Poll,
-        /// Without a complete answer after this time the poll has failed with [`PollFailure::TimedOut`].
+        /// If there is no complete answer after this time, the poll has failed with [`PollFailure::TimedOut`].
         timeout: Micros,
     },
     /// Call [`Subscription::next_step`](super::Subscription::next_step) again at this time.
     Wait {
-        /// The time on the caller's clock.
+        /// The time of the next call, on the caller's clock.
         until: Micros,
     },
 }
 
-/// Why a poll brought no usable answer. The caller knows the cause in detail and logs it.
+/// Why a poll produced no usable answer. The caller logs the detailed cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PollFailure {
     /// No connection could be opened.
-    #[error("can't be reached")]
+    #[error("the connection could not be opened")]
     Unreachable,
-    /// A connection that earlier polls had used ended, or went silent: it is opened again at once.
-    #[error("the connection is lost")]
+    /// A connection used by earlier polls was closed or stopped responding: it is reopened without a backoff.
+    #[error("the connection was lost")]
     ConnectionLost,
-    /// There was no complete answer in time.
-    #[error("no whole answer in time")]
+    /// The answer was not complete before the timeout.
+    #[error("the poll timed out without a complete answer")]
     TimedOut,
-    /// The relay sheds load: 503.
-    #[error("it is overloaded")]
+    /// The relay rejected the poll because of overload: status 503.
+    #[error("the relay is overloaded")]
     Refused {
-        /// How long the relay asks to wait before the next poll, where it says so.
+        /// The Retry-After of the relay, if it sent one.
         retry_after: Option<Micros>,
     },
-    /// Any other status, or an answer that can't be read.
-    #[error("its answer can't be used")]
+    /// The answer has any other status or can't be parsed.
+    #[error("the answer is invalid")]
     InvalidAnswer,
 }
 
-/// What an accepted answer contains.
+/// The content of an accepted answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptedAnswer {
-    /// None of its events is new.
+    /// The answer contains no new event.
     NoNewEvents,
-    /// Some of its events are new.
+    /// The answer contains new events.
     NewEvents {
         /// Events with larger offsets than this are new.
         after: Offset,
     },
-    /// Its events are the complete state: the endpoint list replaces the known one, and its purges are added to those
-    /// known.
+    /// The events are the complete state: the endpoint list replaces the known one, and the purges are added to the
+    /// known ones.
     Snapshot,
 }
 
-/// Why an answer that could be read is rejected. The next relay is polled.
+/// Why a well-formed answer is rejected. The subscriber polls the next relay.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RejectedAnswer {
-    /// It belongs to another feed and is no snapshot. The next poll requests a snapshot.
+    /// The answer belongs to another feed and is not a snapshot. The next poll requests a snapshot.
     #[error(
-        "events of feed {} without a snapshot, where feed {} is followed",
+        "the answer has events of feed {} without a snapshot, but the subscriber follows feed {}",
         name_of(received.as_ref()),
         name_of(known.as_ref())
     )]
@@ -76,9 +76,9 @@
         /// The feed of the answer.
         received: Option<FeedId>,
     },
-    /// Its offset leads the known one by more than [`MAX_OFFSET_LEAP`](super::MAX_OFFSET_LEAP), or is over
+    /// The offset exceeds the known one by more than [`MAX_OFFSET_LEAP`](super::MAX_OFFSET_LEAP), or exceeds
     /// [`MAX_OFFSET`](super::MAX_OFFSET).
-    #[error("offset {received} after {known}")]
+    #[error("the answer has offset {received}, too far after the known offset {known}")]
     OffsetLeap {
         /// The offset up to which events have been applied.
         known: Offset,
--- a/crates/feed/src/subscription/relay_order.rs
+++ b/crates/feed/src/subscription/relay_order.rs
@@ -3,16 +3,16 @@
 use crate::slice;
 use std::cmp::Reverse;
 
-/// The first `preferred` relays in their order, then the rest by rendezvous hashing. Each subscriber has its own order, so
-/// that the subscribers of a lost relay spread evenly over the others, and no other subscriber moves.
+/// Returns the first `preferred` relays in their order, then the others by rendezvous hashing. Each subscriber has its
+/// own order, so that the subscribers of a failed relay spread evenly over the others, and no other subscriber moves.
 pub fn relay_order(subscriber: &str, relays: &[String], preferred: usize) -> Vec<usize> {
     let preferred = preferred.min(relays.len());
-    let mut rest: Vec<usize> = (preferred..relays.len()).collect();
-    rest.sort_by_key(|relay| (Reverse(weight(subscriber, &relays[*relay])), *relay));
-    (0..preferred).chain(rest).collect()
+    let mut hashed: Vec<usize> = (preferred..relays.len()).collect();
+    hashed.sort_by_key(|relay| (Reverse(weight(subscriber, &relays[*relay])), *relay));
+    (0..preferred).chain(hashed).collect()
 }
 
 fn weight(subscriber: &str, relay: &str) -> u64 {
-    // No name holds a line break: two pairs never make one key.
+    // Names contain no line break, so that different pairs have different keys.
     slice::url_hash(&format!("{subscriber}\n{relay}"))
 }
--- a/crates/feed/src/subscription/settings.rs
+++ b/crates/feed/src/subscription/settings.rs
@@ -1,34 +1,35 @@
-//! The relays and times of a subscriber, with their defaults.
+//! The settings of a subscriber and their defaults.
 
 use crate::{MILLISECOND, Micros, PerMille};
 
 /// The settings of a subscriber.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Its name, which must be unique.
+    /// The name of the subscriber, which must be unique.
     pub name: String,
-    /// Distinguishes this process from earlier ones of the same name: each has a higher one.
+    /// Distinguishes this process from earlier ones of the same name: each process has a higher incarnation.
     pub incarnation: u64,
-    /// Names or addresses, in order of preference; one at least.
+    /// The names or addresses of the relays, in order of preference; at least one.
     pub relays: Vec<String>,
-    /// How many of the first relays are polled in their order, before the rest by rendezvous hashing.
+    /// How many of the first relays are polled in the given order, before the others by rendezvous hashing.
     pub preferred: usize,
     /// The hold that a poll requests.
     pub hold: Micros,
-    /// How long a freshness lease lasts.
+    /// The duration of a freshness lease.
     pub lease: Micros,
-    /// By how much clocks may run fast or slow, in thousandths.
+    /// The maximum drift of clocks, in thousandths.
     pub drift_per_mille: PerMille,
-    /// The peer is a plain bus without support for relays: no extended parameters, no lease, the first relay only.
+    /// Whether the peer is a plain bus without support for relays: no extended parameters, no lease, the first relay
+    /// only.
     pub plain_bus: bool,
-    /// The peer is the bus itself: an answer without an age is current.
+    /// Whether the peer is the event bus itself, so that an answer without an age is current.
     pub direct_bus: bool,
-    /// How long a relay that is not the preferred one is used before the preferred one is polled again.
+    /// How long another relay is used before the preferred one is retried.
     pub retry_preferred_after: Micros,
 }
 
 impl Settings {
-    /// The defaults for a gateway that polls these relays.
+    /// Returns the default settings for a gateway that polls these relays.
     pub fn new(name: &str, incarnation: u64, relays: Vec<String>) -> Settings {
         Settings {
             name: name.to_owned(),
