--- a/crates/feed/tests/message.rs
+++ b/crates/feed/tests/message.rs
@@ -1,4 +1,4 @@
-//! Forms of polls and answers.
+//! Tests of the encoding and parsing of polls and answers.
 
 use rstest::rstest;
 use sagearch_feed::message::{
@@ -52,11 +52,11 @@
 }
 
 #[test]
-fn oversized_query_parts_are_rejected_or_cut() {
-    let long = |name: usize| format!("from=1&incarnation=1&name={}", "n".repeat(name));
-    assert!(Poll::parse(&long(128)).is_ok());
-    assert_eq!(Poll::parse(&long(129)).unwrap_err().kind, ParsePollErrorKind::InvalidName);
-    assert_eq!(Poll::parse(&long(2_000)).unwrap_err().kind, ParsePollErrorKind::TooLong);
+fn oversized_query_is_rejected_and_long_hold_is_reduced() {
+    let query_with_name = |bytes: usize| format!("from=1&incarnation=1&name={}", "n".repeat(bytes));
+    assert!(Poll::parse(&query_with_name(128)).is_ok());
+    assert_eq!(Poll::parse(&query_with_name(129)).unwrap_err().kind, ParsePollErrorKind::InvalidName);
+    assert_eq!(Poll::parse(&query_with_name(2_000)).unwrap_err().kind, ParsePollErrorKind::TooLong);
     assert_eq!(Poll::parse("from=1&hold=99999999").unwrap().hold_ms, MAX_HOLD_MS);
     assert_eq!(Poll::parse("from=1&later=x&hold").unwrap_err().kind, ParsePollErrorKind::InvalidNumber);
     assert_eq!(Poll::parse("later=x&from=1"), Ok(poll(1, 0)));
@@ -80,19 +80,19 @@
 }
 
 #[test]
-fn unknown_event_fields_are_passed_on_unchanged() {
+fn unknown_event_fields_are_forwarded_unchanged() {
     let received = r#"{"offset":9,"feed":"f","age_ms":7,"snapshot":true,"batch":[
         {"offset":8,"ban":{"tag":5,"ts":3,"why":"x"},"more":[1]},
         {"offset":8,"ban":{"url":17,"ts":3}},
         {"ban":{"url":"no number"}},
         {"offset":9,"topology":{"reset":true,"instances":[{"instanceId":"a","later":1}],"later":2}}]}"#;
-    let mut whole: serde_json::Value = serde_json::from_str(received).unwrap();
+    let mut expected: serde_json::Value = serde_json::from_str(received).unwrap();
     let answer: Answer = serde_json::from_str(received).unwrap();
     assert_eq!(answer.batch[0].ban.as_ref().unwrap().tag, Some(5));
-    assert!(answer.batch[1].ban.is_none(), "a ban that can't be read is passed on as it is");
-    // An event without a number can't be passed on.
-    whole["batch"].as_array_mut().unwrap().remove(2);
-    assert_eq!(serde_json::to_value(&answer).unwrap(), whole);
+    assert!(answer.batch[1].ban.is_none(), "a ban that can't be parsed is forwarded unchanged");
+    // An event without an offset can't be forwarded.
+    expected["batch"].as_array_mut().unwrap().remove(2);
+    assert_eq!(serde_json::to_value(&answer).unwrap(), expected);
 }
 
 #[test]
@@ -102,9 +102,9 @@
     assert_eq!(slice::covering(5, 8, 4), 2..3);
     assert!(slice::covering(4, 4, 4).is_empty() && slice::covering(0, 0, 4).is_empty());
     for hash in (0..1_000).map(|n| slice::url_hash(&n.to_string())) {
-        for (of, into) in [(3, 4), (4, 3), (4_096, 7), (7, 4_096)] {
-            let covered = slice::covering(slice::slice_of(hash, of), of, into);
-            assert!(covered.contains(&slice::slice_of(hash, into)));
+        for (slice_count, target_count) in [(3, 4), (4, 3), (4_096, 7), (7, 4_096)] {
+            let covered = slice::covering(slice::slice_of(hash, slice_count), slice_count, target_count);
+            assert!(covered.contains(&slice::slice_of(hash, target_count)));
         }
     }
 }
--- a/crates/feed/tests/subscription.rs
+++ b/crates/feed/tests/subscription.rs
@@ -1,4 +1,4 @@
-//! Which relay a subscriber asks when, and what it makes of answers.
+//! Tests of a subscription: the selection of relays, the timing of polls and the handling of answers.
 
 use rstest::rstest;
 use sagearch_feed::message::{FeedId, Head, Identity, Poll};
@@ -24,24 +24,24 @@
     Head { offset, feed: feed("f"), age_ms: Some(age_ms), snapshot: false }
 }
 
-/// Waits for the next poll: when it is sent, to whom, and what it says.
+/// Advances the time to the next poll. Returns when it is sent, the relay, the poll and its timeout.
 fn next_poll(subscription: &mut Subscription, mut now: Micros) -> (Micros, usize, Poll, Micros) {
     loop {
         match subscription.next_step(now) {
             Step::Poll { relay, poll, timeout } => return (now, relay, poll, timeout),
             Step::Wait { until } => {
-                assert!(until > now, "waiting moves the time on");
+                assert!(until > now, "a wait ends after the current time");
                 now = until;
             }
         }
     }
 }
 
-/// A subscriber that has applied events up to `offset`, of age 0 at [`START`].
+/// A subscriber that has applied events up to `offset` from an answer of age 0 at [`START`].
 fn following(relays: usize, offset: u64) -> Subscription {
     let mut subscription = Subscription::new(settings("a", relays), 1, START);
     let (sent, relay, poll, _) = next_poll(&mut subscription, START);
-    assert_eq!((relay, poll.from, poll.hold_ms), (0, 0, 0), "the first word is wanted at once");
+    assert_eq!((relay, poll.from, poll.hold_ms), (0, 0, 0), "the first poll requests an immediate answer");
     subscription.poll_answered(sent, sent, &head(offset, 0)).unwrap();
     subscription.events_applied(sent);
     assert_eq!(subscription.offset(), offset);
@@ -59,7 +59,7 @@
         Ok(AcceptedAnswer::NewEvents { after: 5 })
     );
     let (_, _, poll, _) = next_poll(&mut subscription, sent + 1);
-    assert_eq!(poll.from, 5, "nothing of the answer has been applied yet");
+    assert_eq!(poll.from, 5, "no event of the answer has been applied yet");
     assert_eq!(subscription.lease().as_of(), Some(START));
     subscription.poll_answered(sent, sent, &head(9, 0)).unwrap();
     subscription.events_applied(sent + 1);
@@ -77,7 +77,7 @@
 #[test]
 fn answer_received_after_its_lease_leaves_lease_expired() {
     let mut subscription = following(1, 5);
-    // Paused for 3 s between the sending and the taking in.
+    // The process is paused for 3 s between sending the poll and handling the answer.
     let (sent, received) = (START + 500_000, START + 3_500_000);
     assert_eq!(
         subscription.poll_answered(received, sent, &head(6, 0)),
@@ -85,7 +85,7 @@
     );
     subscription.events_applied(received);
     assert!(subscription.lease().is_expired(received));
-    assert_eq!(subscription.offset(), 6, "its events count all the same");
+    assert_eq!(subscription.offset(), 6, "the events of the answer are applied nevertheless");
     subscription.poll_answered(received + 1, received, &head(6, 0)).unwrap();
     assert!(!subscription.lease().is_expired(received + 1));
 }
@@ -93,8 +93,8 @@
 #[rstest]
 #[case::hours_old(Some(4 * 3_600_000))]
 #[case::older_than_time(Some(u64::MAX))]
-#[case::not_told(None)]
-fn answer_without_freshness_renews_nothing(#[case] age_ms: Option<u64>) {
+#[case::missing(None)]
+fn answer_without_freshness_does_not_renew_lease(#[case] age_ms: Option<u64>) {
     let mut subscription = following(2, 5);
     for _ in 0..2 {
         let (sent, relay, ..) = next_poll(&mut subscription, START);
@@ -102,7 +102,7 @@
         subscription.poll_answered(sent, sent, &Head { age_ms, ..head(5, 0) }).unwrap();
         assert_eq!(subscription.lease().as_of(), Some(START));
     }
-    assert_eq!(next_poll(&mut subscription, START).1, 1, "after a few of those the next one is asked");
+    assert_eq!(next_poll(&mut subscription, START).1, 1, "the next relay is polled after two stale answers");
 }
 
 #[test]
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn relay_behind_subscriber_proves_nothing_and_is_left() {
+fn answers_behind_subscriber_do_not_renew_lease_and_switch_relay() {
     let mut subscription = following(2, 5);
     for _ in 0..2 {
         let (_, relay, poll, _) = next_poll(&mut subscription, START);
@@ -130,7 +130,7 @@
     }
     assert_eq!((subscription.offset(), subscription.lease().as_of()), (5, Some(START)));
     let (_, relay, poll, _) = next_poll(&mut subscription, START + 900_000);
-    assert_eq!((relay, poll.from), (1, 5), "nobody goes back");
+    assert_eq!((relay, poll.from), (1, 5), "the offset never decreases");
 }
 
 #[test]
@@ -142,7 +142,7 @@
     subscription.events_applied(START);
     assert_eq!(subscription.offset(), 50);
     let (_, relay, poll, _) = next_poll(&mut subscription, START);
-    assert_eq!((relay, poll.from, poll.feed), (1, 0, None), "the whole state is asked for");
+    assert_eq!((relay, poll.from, poll.feed), (1, 0, None), "the poll requests a snapshot");
     let snapshot = Head { offset: 3, snapshot: true, ..other };
     assert_eq!(subscription.poll_answered(START, START, &snapshot), Ok(AcceptedAnswer::Snapshot));
     subscription.events_applied(START);
@@ -151,11 +151,11 @@
 }
 
 #[test]
-fn snapshot_request_in_known_feed_never_goes_back() {
+fn snapshot_request_answered_in_known_feed_keeps_offset() {
     let mut subscription = following(2, 50);
     let other = Head { feed: feed("g"), ..head(60, 0) };
     assert!(subscription.poll_answered(START, START, &other).is_err());
-    // The next relay is of the known feed, but behind.
+    // The next relay has the known feed, but is behind.
     assert_eq!(subscription.poll_answered(START, START, &head(4, 0)), Ok(AcceptedAnswer::NoNewEvents));
     assert_eq!(next_poll(&mut subscription, START).2.from, 50);
     assert_eq!(
@@ -175,21 +175,21 @@
 #[rstest]
 #[case::within(100 + MAX_OFFSET_LEAP, false, Ok(AcceptedAnswer::NewEvents { after: 100 }))]
 #[case::beyond(101 + MAX_OFFSET_LEAP, false, Err(RejectedAnswer::OffsetLeap { known: 100, received: 101 + MAX_OFFSET_LEAP }))]
-#[case::whole(101 + MAX_OFFSET_LEAP, true, Ok(AcceptedAnswer::Snapshot))]
-#[case::absurd(MAX_OFFSET + 1, true, Err(RejectedAnswer::OffsetLeap { known: 100, received: MAX_OFFSET + 1 }))]
+#[case::snapshot(101 + MAX_OFFSET_LEAP, true, Ok(AcceptedAnswer::Snapshot))]
+#[case::over_maximum(MAX_OFFSET + 1, true, Err(RejectedAnswer::OffsetLeap { known: 100, received: MAX_OFFSET + 1 }))]
 fn offset_leap_is_rejected(
     #[case] received: u64,
     #[case] snapshot: bool,
-    #[case] taken: Result<AcceptedAnswer, RejectedAnswer>,
+    #[case] expected: Result<AcceptedAnswer, RejectedAnswer>,
 ) {
     let mut subscription = following(2, 100);
-    assert_eq!(subscription.poll_answered(START, START, &Head { snapshot, ..head(received, 0) }), taken);
+    assert_eq!(subscription.poll_answered(START, START, &Head { snapshot, ..head(received, 0) }), expected);
 }
 
-/// Index of the relay that each of many subscribers asks after those lost.
-fn choices(subscribers: usize, lost: &[usize]) -> BTreeMap<usize, Vec<String>> {
-    let mut choices: BTreeMap<usize, Vec<String>> = BTreeMap::new();
-    for number in 0..subscribers {
+/// The names of the subscribers of each relay, by the index of the relay, when the relays in `lost` are unreachable.
+fn subscribers_by_relay(count: usize, lost: &[usize]) -> BTreeMap<usize, Vec<String>> {
+    let mut subscribers: BTreeMap<usize, Vec<String>> = BTreeMap::new();
+    for number in 0..count {
         let name = format!("gateway-{number}");
         let settings = Settings { preferred: 0, ..settings(&name, 6) };
         let mut subscription = Subscription::new(settings, number as u64, START);
@@ -202,20 +202,24 @@
             }
             subscription.poll_failed(now, PollFailure::Unreachable);
         };
-        choices.entry(relay).or_default().push(name);
+        subscribers.entry(relay).or_default().push(name);
     }
-    choices
+    subscribers
 }
 
 #[test]
 fn lost_relay_subscribers_spread_evenly_and_no_other_moves() {
-    let (before, after) = (choices(2_200, &[]), choices(2_200, &[2]));
-    let even = 2_200 / 6;
-    assert!(before.values().all(|of_one| of_one.len().abs_diff(even) < even / 5));
-    for (relay, then) in &after {
-        assert!(before[relay].iter().all(|name| then.contains(name)));
-        let gained = then.len() - before[relay].len();
-        assert!(gained.abs_diff(before[&2].len() / 5) < 40, "{gained} of {} to one", before[&2].len());
+    let (before, after) = (subscribers_by_relay(2_200, &[]), subscribers_by_relay(2_200, &[2]));
+    let even_share = 2_200 / 6;
+    assert!(before.values().all(|names| names.len().abs_diff(even_share) < even_share / 5));
+    for (relay, names) in &after {
+        assert!(before[relay].iter().all(|name| names.contains(name)));
+        let gained = names.len() - before[relay].len();
+        assert!(
+            gained.abs_diff(before[&2].len() / 5) < 40,
+            "relay {relay} gained {gained} of {} subscribers",
+            before[&2].len()
+        );
     }
 }
 
@@ -224,24 +228,24 @@
     for number in 0..50 {
         let mut subscription =
             Subscription::new(Settings { preferred: 2, ..settings(&format!("g{number}"), 6) }, number, START);
-        let mut asked = Vec::new();
+        let mut polled = Vec::new();
         let mut now = START;
         for _ in 0..6 {
             let (sent, relay, ..) = next_poll(&mut subscription, now);
             now = sent;
-            asked.push(relay);
+            polled.push(relay);
             subscription.poll_failed(now, PollFailure::TimedOut);
         }
-        assert_eq!(asked[..2], [0, 1]);
-        asked.sort_unstable();
-        assert_eq!(asked, [0, 1, 2, 3, 4, 5], "all have their turn");
+        assert_eq!(polled[..2], [0, 1]);
+        polled.sort_unstable();
+        assert_eq!(polled, [0, 1, 2, 3, 4, 5], "each relay is polled once");
     }
 }
 
 #[test]
 fn lost_relay_subscribers_return_spread_and_within_lease() {
     let lost = START + 1_200_000;
-    let mut by_10_ms: BTreeMap<Micros, usize> = BTreeMap::new();
+    let mut polls_by_10_ms: BTreeMap<Micros, usize> = BTreeMap::new();
     for seed in 0..2_200 {
         let mut subscription = Subscription::new(settings(&format!("g{seed}"), 6), seed, START);
         subscription.poll_answered(START, START, &head(1, 0)).unwrap();
@@ -249,40 +253,43 @@
         subscription.poll_failed(lost, PollFailure::Unreachable);
         let (sent, ..) = next_poll(&mut subscription, lost);
         let until = subscription.lease().until().unwrap();
-        assert!(sent - lost <= (until - lost) / 2, "another one can be asked after it");
-        *by_10_ms.entry((sent - lost) / 10_000).or_default() += 1;
+        assert!(sent - lost <= (until - lost) / 2, "another relay can be polled before lease expiry");
+        *polls_by_10_ms.entry((sent - lost) / 10_000).or_default() += 1;
     }
-    let most = by_10_ms.values().max().unwrap();
-    assert!(by_10_ms.len() >= 19 && *most < 320, "{by_10_ms:?}");
+    let most_polls = polls_by_10_ms.values().max().unwrap();
+    assert!(polls_by_10_ms.len() >= 19 && *most_polls < 320, "{polls_by_10_ms:?}");
 }
 
 #[test]
 fn retry_after_is_obeyed_within_lease() {
     let refused = |seconds: u64| PollFailure::Refused { retry_after: Some(seconds * 1_000_000) };
-    // The only relay, with much of the lease left, asks for a second.
+    // The only relay requests a delay of one second, with most of the lease remaining.
     let mut subscription = following(1, 5);
     subscription.poll_failed(START, refused(1));
     let (sent, ..) = next_poll(&mut subscription, START);
     assert!((1_000_000..=1_250_000).contains(&(sent - START)), "{}", sent - START);
-    // It asks for an hour.
+    // The relay requests a delay of one hour.
     let mut subscription = following(1, 5);
     subscription.poll_failed(START, refused(3_600));
     let (sent, ..) = next_poll(&mut subscription, START);
     let until = subscription.lease().until().unwrap();
     assert!(sent < until - 200_000 && sent > START + 1_000_000, "{}", sent - START);
-    // In doubt there is no bound but a lease's span.
-    let doubt = START + 10_000_000;
-    subscription.poll_failed(doubt, refused(3_600));
-    let (sent, ..) = next_poll(&mut subscription, doubt);
-    assert_eq!(sent - doubt, 1_700_000);
-    // Another relay need not wait.
+    // After lease expiry the delay is limited to the lease duration.
+    let after_expiry = START + 10_000_000;
+    subscription.poll_failed(after_expiry, refused(3_600));
+    let (sent, ..) = next_poll(&mut subscription, after_expiry);
+    assert_eq!(sent - after_expiry, 1_700_000);
+    // The delay does not apply to another relay.
     let mut subscription = following(2, 5);
     subscription.poll_failed(START, refused(1));
     let (sent, relay, ..) = next_poll(&mut subscription, START);
     assert!(relay == 1 && sent <= START + 200_000);
     subscription.poll_failed(sent, PollFailure::Unreachable);
-    let (again, relay, ..) = next_poll(&mut subscription, sent);
-    assert!(relay == 1 || again >= START + 1_000_000, "the one that asked for time has it");
+    let (sent_again, relay, ..) = next_poll(&mut subscription, sent);
+    assert!(
+        relay == 1 || sent_again >= START + 1_000_000,
+        "the relay that requested the delay is not polled before its end"
+    );
 }
 
 #[test]
@@ -296,7 +303,7 @@
         now = sent;
     }
     assert!((100..=200).contains(&backoff[0]) && (200..=400).contains(&backoff[1]), "{backoff:?}");
-    assert!(backoff[3..].iter().all(|pause| (500..=1_000).contains(pause)), "{backoff:?}");
+    assert!(backoff[3..].iter().all(|delay| (500..=1_000).contains(delay)), "{backoff:?}");
 }
 
 #[test]
@@ -315,63 +322,63 @@
     let mut subscription = following(3, 5);
     subscription.poll_failed(START, PollFailure::Unreachable);
     let mut now = START;
-    let (mut back_at, mut trials) = (None, 0);
-    let mut second = None;
-    while back_at.is_none() {
+    let (mut returned_after, mut retries) = (None, 0);
+    let mut fallback = None;
+    while returned_after.is_none() {
         let (sent, relay, ..) = next_poll(&mut subscription, now);
         now = sent + 100_000;
         if relay != 0 {
-            assert_eq!(*second.get_or_insert(relay), relay, "the one that serves is gone back to");
+            assert_eq!(*fallback.get_or_insert(relay), relay, "a failed retry returns to the same relay");
         } else {
-            trials += 1;
-            if trials == 1 {
+            retries += 1;
+            if retries == 1 {
                 subscription.poll_failed(now, PollFailure::TimedOut);
                 continue;
             }
-            back_at = Some(sent - START);
+            returned_after = Some(sent - START);
         }
         subscription.poll_answered(now, sent, &head(5, 0)).unwrap();
         assert!(!subscription.lease().is_expired(now));
     }
-    let (least, most) = (60_000_000, 2 * 37_500_000 + 2_000_000);
-    assert!((least..=most).contains(&back_at.unwrap()), "{back_at:?}");
+    let (minimum, maximum) = (60_000_000, 2 * 37_500_000 + 2_000_000);
+    assert!((minimum..=maximum).contains(&returned_after.unwrap()), "{returned_after:?}");
     assert_eq!(next_poll(&mut subscription, now).1, 0);
 }
 
 #[test]
-fn silent_relay_times_out_early_enough_for_another() {
+fn poll_of_silent_relay_times_out_early_enough_for_another_relay() {
     for seed in 0..200 {
         let mut subscription = Subscription::new(settings("a", 2), seed, START);
-        let (sent, _, _, first) = next_poll(&mut subscription, START);
-        assert!((400_000..=500_000).contains(&first));
+        let (sent, _, _, timeout) = next_poll(&mut subscription, START);
+        assert!((400_000..=500_000).contains(&timeout));
         subscription.poll_answered(sent, sent, &head(1, 0)).unwrap();
         subscription.events_applied(sent);
-        // Held to its end, with an age as of a relay; then the relay is silent.
+        // The relay answers at the end of the hold, then stops responding.
         let answered = START + 500_000;
         subscription.poll_answered(answered, START, &head(1, 0)).unwrap();
         let (sent, _, _, timeout) = next_poll(&mut subscription, answered);
         assert!((650_000..=750_000).contains(&timeout));
-        let silent = sent + timeout;
-        subscription.poll_failed(silent, PollFailure::TimedOut);
-        let (sent, relay, poll, _) = next_poll(&mut subscription, silent);
+        let timed_out_at = sent + timeout;
+        subscription.poll_failed(timed_out_at, PollFailure::TimedOut);
+        let (sent, relay, poll, _) = next_poll(&mut subscription, timed_out_at);
         assert_eq!((relay, poll.hold_ms), (1, 0));
         assert!(!subscription.lease().is_expired(sent + 100_000), "seed {seed}");
     }
 }
 
 #[test]
-fn plain_bus_polls_and_backoffs_are_unchanged() {
+fn plain_bus_polls_and_backoffs_have_plain_form_and_bounds() {
     for seed in 0..100 {
         let plain = Settings { plain_bus: true, ..settings("a", 1) };
         let mut subscription = Subscription::new(plain, seed, START);
-        let (_, _, poll, silent) = next_poll(&mut subscription, START);
+        let (_, _, poll, timeout) = next_poll(&mut subscription, START);
         assert_eq!(poll.path(), "/bus/read?from=0&hold=0");
-        assert!((1_300_000..=1_600_000).contains(&silent));
+        assert!((1_300_000..=1_600_000).contains(&timeout));
         let mut now = START;
-        for (least, most) in [(10, 20), (20, 40), (40, 80), (80, 160), (100, 200), (100, 200)] {
+        for (minimum, maximum) in [(10, 20), (20, 40), (40, 80), (80, 160), (100, 200), (100, 200)] {
             subscription.poll_failed(now, PollFailure::Unreachable);
             let (sent, ..) = next_poll(&mut subscription, now);
-            assert!((least * MILLISECOND..=most * MILLISECOND).contains(&(sent - now)));
+            assert!((minimum * MILLISECOND..=maximum * MILLISECOND).contains(&(sent - now)));
             now = sent;
         }
         let received = |offset| Head { offset, feed: None, age_ms: None, snapshot: false };
@@ -381,11 +388,11 @@
         );
         subscription.events_applied(now);
         assert_eq!(subscription.poll_answered(now, now, &received(3)), Ok(AcceptedAnswer::NoNewEvents));
-        let (sent, _, poll, silent) = next_poll(&mut subscription, now);
+        let (sent, _, poll, timeout) = next_poll(&mut subscription, now);
         assert_eq!((sent, poll.path().as_str()), (now, "/bus/read?from=8&hold=1000"));
-        assert!((1_300_000..=1_600_000).contains(&silent));
+        assert!((1_300_000..=1_600_000).contains(&timeout));
         subscription.poll_failed(now, PollFailure::ConnectionLost);
-        assert_eq!(next_poll(&mut subscription, now).0, now, "a lost connection is opened again at once");
+        assert_eq!(next_poll(&mut subscription, now).0, now, "a lost connection is reopened without delay");
     }
 }
 
