--- a/crates/feed/tests/model/feed.rs
+++ b/crates/feed/tests/model/feed.rs
@@ -1,8 +1,9 @@
-//! Every order of events of small worlds, by `stateright`, with the lease and the watermark as they are: messages are lost,
-//! doubled, late and reordered (what was sent stays in the net and may be delivered at any time, or never), processes
-//! pause (a step may never come), and die with all that they knew. Clocks run within the drift.
+//! A model of the event feed for `stateright`, with the real lease and watermark. It covers all orders of events in
+//! small configurations: messages are lost, duplicated, delayed and reordered (a sent message stays in the network and
+//! may be delivered at any time or never), processes pause (a step may never happen), and crash with the loss of all
+//! state. Clock rates are within the drift.
 //!
-//! Two relays serve; the first one, which hears the other one's reports, says what is done.
+//! There are one or two relays. The first one receives the reports of the second one, and reports completion.
 
 use sagearch_feed::lease::{Lease, age_upper_bound, expired_everywhere_after};
 use sagearch_feed::message::Identity;
@@ -12,34 +13,38 @@
 use stateright::{Model, Property};
 use std::collections::BTreeSet;
 
-const LEASE_DURATION: u64 = 2_000;
-const DRIFT: u32 = 100;
-/// A tick of true time.
-const TICK: u64 = 1_000;
-/// When all clocks show this, the world begins; all have been up for long.
-const BEGIN: u64 = 1_000_000;
-const NEVER: u64 = 1_000_000_000;
-/// Messages are late by so many ticks at most, longer than a lease.
+const LEASE_DURATION_MICROS: u64 = 2_000;
+const DRIFT_PER_MILLE: u32 = 100;
+/// The duration of a tick in true time.
+const TICK_MICROS: u64 = 1_000;
+/// The initial time on all clocks; all processes have been running for long.
+const START_MICROS: u64 = 1_000_000;
+/// A retention after which no subscriber is forgotten within the model.
+const FORGET_AFTER_MICROS: u64 = 1_000_000_000;
+/// The maximum delay of a message, which exceeds the lease duration.
 const MAX_DELAY_TICKS: u64 = 2;
-/// No subscriber is forgotten: the time of its last poll changes only the number of states.
-const ANY_TIME: u64 = BEGIN;
+/// The time recorded for every poll. The actual time would only increase the number of states, as no subscriber is
+/// forgotten.
+const POLL_TIME_MICROS: u64 = START_MICROS;
 pub const RELAYS: usize = 2;
-/// The relay that says what is done, and the one that reports to it.
+/// The relay that reports completion.
 const WATERMARK_RELAY: usize = 0;
-const REPORTER: usize = 1;
-/// The purge's offset.
-const PURGE: u64 = 1;
+/// The peer relay that sends its reports to [`WATERMARK_RELAY`].
+const REPORTING_PEER: usize = 1;
+/// The offset of the purge.
+const PURGE_OFFSET: u64 = 1;
 
 #[derive(Clone)]
 pub struct Feed {
-    /// One that hears nobody, or two.
+    /// The number of relays: one without a peer, or two.
     pub relays: usize,
-    /// How many steps a world takes; none: all.
+    /// The maximum number of steps; `None` for no limit.
     pub depth: Option<usize>,
-    /// The world begins with the purge, known to the relay that says what is done.
+    /// Whether the purge has been published initially and is known to [`WATERMARK_RELAY`].
     pub starts_with_purge: bool,
-    /// How fast the clocks run, in thousandths: of the relays, then of the subscribers.
+    /// The clock rates of the relays, in thousandths of true time.
     pub relay_clock_rates: [u64; RELAYS],
+    /// The clock rates of the subscribers, in thousandths of true time.
     pub subscriber_clock_rates: Vec<u64>,
     pub ticks: u64,
     pub relay_crashes: u8,
@@ -47,20 +52,20 @@
     pub budget: Budget,
 }
 
-/// How many messages are sent in all, each to be delivered at any time or never, and how many of them twice.
+/// The number of messages of each kind that may still be sent, and the number that may still be delivered twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Budget {
-    /// By each relay to the bus.
+    /// The polls of the bus by each relay.
     pub bus_polls: [u8; RELAYS],
     pub polls: u8,
     pub reports: u8,
     pub duplicates: u8,
 }
 
-/// The first field orders messages by the time of sending.
+/// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Body {
-    /// The bus's answer to a poll of a relay, as it was when the poll was sent.
+pub enum MessageBody {
+    /// The answer of the bus to the poll of a relay, with the state of the bus when the poll was sent.
     BusAnswer {
         relay: usize,
         incarnation: u64,
@@ -84,11 +89,13 @@
     Report {
         offset: u64,
         complete: bool,
-        lines: Vec<(String, u64, u64)>,
+        /// The name, incarnation and offset of each subscriber.
+        subscribers: Vec<(String, u64, u64)>,
     },
 }
 
-pub type Message = (u64, Body);
+/// The tick at which a message was sent, and its content. Messages are ordered by the tick.
+pub type Message = (u64, MessageBody);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RelayState {
@@ -105,24 +112,27 @@
     lease: Lease,
 }
 
+/// A state of the model: the processes, the messages in the network and the remaining budgets.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct World {
+pub struct SystemState {
     tick: u64,
-    purged: Option<u64>,
+    purged_at_tick: Option<u64>,
     relays: Vec<RelayState>,
     subscribers: Vec<SubscriberState>,
-    net: BTreeSet<Message>,
+    network: BTreeSet<Message>,
     budget: Budget,
     relay_crashes: u8,
     subscriber_crashes: u8,
-    /// Some relay has said that the purge is done: it must never be untrue after that.
+    /// Whether [`WATERMARK_RELAY`] has reported the purge complete because all subscribers have acknowledged it. That
+    /// must stay true.
     acknowledged: bool,
+    /// Whether [`WATERMARK_RELAY`] has reported the purge complete because of lease expiry.
     leases_expired: bool,
 }
 
-impl World {
-    fn send(&mut self, body: Body) {
-        self.net.insert((self.tick, body));
+impl SystemState {
+    fn send(&mut self, body: MessageBody) {
+        self.network.insert((self.tick, body));
     }
 }
 
@@ -130,21 +140,21 @@
 pub enum Action {
     Tick,
     Purge,
-    /// A relay polls the bus.
+    /// The relay polls the bus.
     PollBus(usize),
-    /// A subscriber polls a relay.
+    /// The subscriber (first field) polls the relay (second field).
     PollRelay(usize, usize),
-    /// The second relay reports to the first one.
+    /// [`REPORTING_PEER`] reports to [`WATERMARK_RELAY`].
     SendReport,
     Deliver(Message),
-    /// The first time of two.
+    /// Delivers a message that stays in the network for another delivery.
     DeliverTwice(Message),
     CrashRelay(usize),
     CrashSubscriber(usize),
 }
 
 fn clock(tick: u64, rate: u64) -> u64 {
-    BEGIN + tick * TICK * rate / 1_000
+    START_MICROS + tick * TICK_MICROS * rate / 1_000
 }
 
 fn relay_name(relay: usize) -> String {
@@ -154,51 +164,51 @@
 fn watermark(relays: usize, relay: usize, now: u64) -> Watermark {
     let peers = (0..relays).filter(|other| *other != relay).map(relay_name).collect();
     let settings = Settings {
-        lease: LEASE_DURATION,
-        drift_per_mille: DRIFT,
-        forget_after: NEVER,
+        lease: LEASE_DURATION_MICROS,
+        drift_per_mille: DRIFT_PER_MILLE,
+        forget_after: FORGET_AFTER_MICROS,
         ..Settings::new(&relay_name(relay), peers)
     };
     Watermark::new(&settings, now)
 }
 
 impl Feed {
-    fn relay_clock(&self, world: &World, relay: usize) -> u64 {
-        clock(world.tick, self.relay_clock_rates[relay])
+    fn relay_clock(&self, system: &SystemState, relay: usize) -> u64 {
+        clock(system.tick, self.relay_clock_rates[relay])
     }
 
-    fn subscriber_clock(&self, world: &World, subscriber: usize) -> u64 {
-        clock(world.tick, self.subscriber_clock_rates[subscriber])
+    fn subscriber_clock(&self, system: &SystemState, subscriber: usize) -> u64 {
+        clock(system.tick, self.subscriber_clock_rates[subscriber])
     }
 
-    fn deliver(&self, world: &mut World, body: Body) -> Option<()> {
+    fn deliver(&self, system: &mut SystemState, body: MessageBody) -> Option<()> {
         match body {
-            Body::BusAnswer { relay, incarnation, sent, offset } => {
-                let now = self.relay_clock(world, relay);
-                let state = &mut world.relays[relay];
+            MessageBody::BusAnswer { relay, incarnation, sent, offset } => {
+                let now = self.relay_clock(system, relay);
+                let state = &mut system.relays[relay];
                 (state.incarnation == incarnation).then_some(())?;
                 state.offset = state.offset.max(offset);
                 state.as_of = state.as_of.max(Some(sent));
                 state.watermark.record_known(now, None, state.offset);
             }
-            Body::Poll { relay, subscriber, incarnation, sent, from } => {
-                let now = self.relay_clock(world, relay);
-                let state = &mut world.relays[relay];
+            MessageBody::Poll { relay, subscriber, incarnation, sent, from } => {
+                let now = self.relay_clock(system, relay);
+                let state = &mut system.relays[relay];
                 let age = now - state.as_of?;
                 let identity = Identity { name: subscriber.to_string(), incarnation };
-                state.watermark.acknowledge(ANY_TIME, &identity, from);
+                state.watermark.acknowledge(POLL_TIME_MICROS, &identity, from);
                 let offset = state.offset;
-                world.send(Body::Answer { subscriber, incarnation, sent, offset, age });
+                system.send(MessageBody::Answer { subscriber, incarnation, sent, offset, age });
             }
-            Body::Answer { subscriber, incarnation, sent, offset, age } => {
-                let state = &mut world.subscribers[subscriber];
+            MessageBody::Answer { subscriber, incarnation, sent, offset, age } => {
+                let state = &mut system.subscribers[subscriber];
                 (state.incarnation == incarnation && offset >= state.offset).then_some(())?;
                 state.offset = offset;
-                state.lease.renew(sent - age_upper_bound(age, DRIFT));
+                state.lease.renew(sent - age_upper_bound(age, DRIFT_PER_MILLE));
             }
-            Body::Report { offset, complete, lines } => {
-                let line = |(name, incarnation, offset)| {
-                    let (via, silent_ms) = (relay_name(REPORTER), 0);
+            MessageBody::Report { offset, complete, subscribers } => {
+                let subscriber_report = |(name, incarnation, offset)| {
+                    let (via, silent_ms) = (relay_name(REPORTING_PEER), 0);
                     sagearch_feed::relay::report::SubscriberReport {
                         name,
                         incarnation,
@@ -207,12 +217,12 @@
                         via,
                     }
                 };
-                let subscribers = lines.into_iter().map(line).collect();
-                let (relay, age_ms) = (relay_name(REPORTER), None);
+                let subscribers = subscribers.into_iter().map(subscriber_report).collect();
+                let (relay, age_ms) = (relay_name(REPORTING_PEER), None);
                 let report = Report { relay, feed: None, offset, age_ms, complete, subscribers };
-                world.relays[WATERMARK_RELAY].watermark.apply_peer_report(
-                    ANY_TIME,
-                    &relay_name(REPORTER),
+                system.relays[WATERMARK_RELAY].watermark.apply_peer_report(
+                    POLL_TIME_MICROS,
+                    &relay_name(REPORTING_PEER),
                     &report,
                 );
             }
@@ -220,115 +230,126 @@
         Some(())
     }
 
-    fn send_report(&self, world: &mut World) {
-        let now = self.relay_clock(world, REPORTER);
-        let state = &world.relays[REPORTER];
+    fn send_report(&self, system: &mut SystemState) {
+        let now = self.relay_clock(system, REPORTING_PEER);
+        let state = &system.relays[REPORTING_PEER];
         let complete = state.as_of.is_some() && state.watermark.knows_all_subscribers(now);
-        let own = state.watermark.own_subscribers(ANY_TIME).into_iter();
-        let lines = own.map(|line| (line.name, line.incarnation, line.offset)).collect();
+        let own = state.watermark.own_subscribers(POLL_TIME_MICROS).into_iter();
+        let subscribers =
+            own.map(|subscriber| (subscriber.name, subscriber.incarnation, subscriber.offset)).collect();
         let offset = state.offset;
-        world.send(Body::Report { offset, complete, lines });
+        system.send(MessageBody::Report { offset, complete, subscribers });
     }
 
-    /// What the first relay says now is kept: it must hold for ever.
-    fn record_completion(&self, world: &mut World) {
-        let now = self.relay_clock(world, WATERMARK_RELAY);
-        match world.relays[WATERMARK_RELAY].watermark.completion(now, PURGE).map(|done| done.reason) {
-            Some(CompletionReason::Acknowledged) => world.acknowledged = true,
-            Some(CompletionReason::LeasesExpired) => world.leases_expired = true,
+    /// Records the completion that [`WATERMARK_RELAY`] reports now, which must stay true.
+    fn record_completion(&self, system: &mut SystemState) {
+        let now = self.relay_clock(system, WATERMARK_RELAY);
+        match system.relays[WATERMARK_RELAY]
+            .watermark
+            .completion(now, PURGE_OFFSET)
+            .map(|completion| completion.reason)
+        {
+            Some(CompletionReason::Acknowledged) => system.acknowledged = true,
+            Some(CompletionReason::LeasesExpired) => system.leases_expired = true,
             None => {}
         }
     }
 
-    /// A copy made just before the purge is still used.
-    fn uses_purged_copy(&self, world: &World, subscriber: usize) -> bool {
-        let Some(purged) = world.purged else { return false };
-        let state = &world.subscribers[subscriber];
-        let made = clock(purged, self.subscriber_clock_rates[subscriber]) - 1;
-        let floor = state.lease.purge_floor(self.subscriber_clock(world, subscriber));
-        state.offset < PURGE && floor.is_none_or(|floor| made >= floor)
+    /// Whether the subscriber still uses a copy made just before the purge.
+    fn uses_purged_copy(&self, system: &SystemState, subscriber: usize) -> bool {
+        let Some(purged_at_tick) = system.purged_at_tick else { return false };
+        let state = &system.subscribers[subscriber];
+        let copied_at = clock(purged_at_tick, self.subscriber_clock_rates[subscriber]) - 1;
+        let floor = state.lease.purge_floor(self.subscriber_clock(system, subscriber));
+        state.offset < PURGE_OFFSET && floor.is_none_or(|floor| copied_at >= floor)
     }
 
-    fn has_lease_without_purge(&self, world: &World, subscriber: usize) -> bool {
-        let state = &world.subscribers[subscriber];
-        state.offset < PURGE && !state.lease.is_expired(self.subscriber_clock(world, subscriber))
+    fn has_lease_without_purge(&self, system: &SystemState, subscriber: usize) -> bool {
+        let state = &system.subscribers[subscriber];
+        state.offset < PURGE_OFFSET && !state.lease.is_expired(self.subscriber_clock(system, subscriber))
     }
 
-    fn any(&self, world: &World, holds: fn(&Feed, &World, usize) -> bool) -> bool {
-        (0..self.subscriber_clock_rates.len()).any(|subscriber| holds(self, world, subscriber))
+    fn any_subscriber(
+        &self,
+        system: &SystemState,
+        predicate: fn(&Feed, &SystemState, usize) -> bool,
+    ) -> bool {
+        (0..self.subscriber_clock_rates.len()).any(|subscriber| predicate(self, system, subscriber))
     }
 
-    /// No more faults from here on: is it acknowledged everywhere, without waiting for leases?
-    fn completes_without_faults(&self, world: &World) -> bool {
-        let mut world = world.clone();
-        world.net.clear();
-        // Long enough for relays that were restarted to know who holds leases.
-        world.tick += 2 * expired_everywhere_after(LEASE_DURATION, DRIFT).div_ceil(TICK);
-        world.purged = world.purged.or(Some(world.tick));
-        world.budget = Budget { bus_polls: [1; RELAYS], polls: u8::MAX, reports: 1, duplicates: 0 };
+    /// Whether the purge becomes complete, and no subscriber uses a purged copy, if there are no faults from
+    /// now on.
+    fn completes_without_faults(&self, system: &SystemState) -> bool {
+        let mut system = system.clone();
+        system.network.clear();
+        // Long enough for the reports of restarted relays to be complete.
+        system.tick +=
+            2 * expired_everywhere_after(LEASE_DURATION_MICROS, DRIFT_PER_MILLE).div_ceil(TICK_MICROS);
+        system.purged_at_tick = system.purged_at_tick.or(Some(system.tick));
+        system.budget = Budget { bus_polls: [1; RELAYS], polls: u8::MAX, reports: 1, duplicates: 0 };
         let mut steps: Vec<Action> = (0..self.relays).map(Action::PollBus).collect();
         let polls = (0..self.subscriber_clock_rates.len()).map(|subscriber| Action::PollRelay(subscriber, 0));
-        // The second poll acknowledges what the first one brought.
+        // The second poll acknowledges the events in the answer to the first one.
         steps.extend(polls.clone().chain(polls));
         steps.extend((1..self.relays).map(|_| Action::SendReport));
         for step in steps {
-            self.act(&mut world, step);
-            while let Some((_, body)) = world.net.pop_first() {
-                self.deliver(&mut world, body);
+            self.apply_action(&mut system, step);
+            while let Some((_, body)) = system.network.pop_first() {
+                self.deliver(&mut system, body);
             }
         }
-        let now = self.relay_clock(&world, WATERMARK_RELAY);
-        world.relays[WATERMARK_RELAY].watermark.completion(now, PURGE).is_some()
-            && !self.any(&world, Feed::uses_purged_copy)
+        let now = self.relay_clock(&system, WATERMARK_RELAY);
+        system.relays[WATERMARK_RELAY].watermark.completion(now, PURGE_OFFSET).is_some()
+            && !self.any_subscriber(&system, Feed::uses_purged_copy)
     }
 
-    fn act(&self, world: &mut World, action: Action) -> Option<()> {
+    fn apply_action(&self, system: &mut SystemState, action: Action) -> Option<()> {
         match action {
             Action::Tick => {
-                world.tick += 1;
-                let tick = world.tick;
-                world.net.retain(|(sent, _)| tick - sent <= MAX_DELAY_TICKS);
+                system.tick += 1;
+                let tick = system.tick;
+                system.network.retain(|(sent, _)| tick - sent <= MAX_DELAY_TICKS);
             }
-            Action::Purge => world.purged = Some(world.tick),
+            Action::Purge => system.purged_at_tick = Some(system.tick),
             Action::PollBus(relay) => {
-                world.budget.bus_polls[relay] -= 1;
-                let sent = self.relay_clock(world, relay);
-                let incarnation = world.relays[relay].incarnation;
-                let offset = if world.purged.is_some() { PURGE } else { 0 };
-                world.send(Body::BusAnswer { relay, incarnation, sent, offset });
+                system.budget.bus_polls[relay] -= 1;
+                let sent = self.relay_clock(system, relay);
+                let incarnation = system.relays[relay].incarnation;
+                let offset = if system.purged_at_tick.is_some() { PURGE_OFFSET } else { 0 };
+                system.send(MessageBody::BusAnswer { relay, incarnation, sent, offset });
             }
             Action::PollRelay(subscriber, relay) => {
-                world.budget.polls -= 1;
-                let sent = self.subscriber_clock(world, subscriber);
-                let SubscriberState { incarnation, offset: from, .. } = world.subscribers[subscriber];
-                world.send(Body::Poll { relay, subscriber, incarnation, sent, from });
+                system.budget.polls -= 1;
+                let sent = self.subscriber_clock(system, subscriber);
+                let SubscriberState { incarnation, offset: from, .. } = system.subscribers[subscriber];
+                system.send(MessageBody::Poll { relay, subscriber, incarnation, sent, from });
             }
             Action::SendReport => {
-                world.budget.reports -= 1;
-                self.send_report(world);
+                system.budget.reports -= 1;
+                self.send_report(system);
             }
             Action::Deliver(message) => {
-                world.net.remove(&message);
-                // Whoever has no use for it has lost it.
-                let _ = self.deliver(world, message.1);
+                system.network.remove(&message);
+                // A message that its receiver ignores is lost.
+                let _ = self.deliver(system, message.1);
             }
             Action::DeliverTwice((_, body)) => {
-                world.budget.duplicates -= 1;
-                self.deliver(world, body)?;
+                system.budget.duplicates -= 1;
+                self.deliver(system, body)?;
             }
             Action::CrashRelay(relay) => {
-                let now = self.relay_clock(world, relay);
-                let incarnation = world.relays[relay].incarnation + 1;
+                let now = self.relay_clock(system, relay);
+                let incarnation = system.relays[relay].incarnation + 1;
                 let watermark = watermark(self.relays, relay, now);
-                world.relays[relay] = RelayState { incarnation, offset: 0, as_of: None, watermark };
-                world.relay_crashes -= 1;
+                system.relays[relay] = RelayState { incarnation, offset: 0, as_of: None, watermark };
+                system.relay_crashes -= 1;
             }
             Action::CrashSubscriber(subscriber) => {
-                let now = self.subscriber_clock(world, subscriber);
-                let incarnation = world.subscribers[subscriber].incarnation + 1;
-                let lease = Lease::new(LEASE_DURATION, DRIFT, now);
-                world.subscribers[subscriber] = SubscriberState { incarnation, offset: 0, lease };
-                world.subscriber_crashes -= 1;
+                let now = self.subscriber_clock(system, subscriber);
+                let incarnation = system.subscribers[subscriber].incarnation + 1;
+                let lease = Lease::new(LEASE_DURATION_MICROS, DRIFT_PER_MILLE, now);
+                system.subscribers[subscriber] = SubscriberState { incarnation, offset: 0, lease };
+                system.subscriber_crashes -= 1;
             }
         }
         Some(())
@@ -336,28 +357,29 @@
 }
 
 impl Model for Feed {
-    type State = World;
+    type State = SystemState;
     type Action = Action;
 
-    fn init_states(&self) -> Vec<World> {
-        let long_ago = BEGIN - 2 * expired_everywhere_after(LEASE_DURATION, DRIFT);
+    fn init_states(&self) -> Vec<SystemState> {
+        let process_start =
+            START_MICROS - 2 * expired_everywhere_after(LEASE_DURATION_MICROS, DRIFT_PER_MILLE);
         let relay = |relay| RelayState {
             incarnation: 1,
             offset: 0,
-            as_of: Some(BEGIN),
-            watermark: watermark(self.relays, relay, long_ago),
+            as_of: Some(START_MICROS),
+            watermark: watermark(self.relays, relay, process_start),
         };
         let subscriber = |_: &u64| SubscriberState {
             incarnation: 1,
             offset: 0,
-            lease: Lease::new(LEASE_DURATION, DRIFT, long_ago),
+            lease: Lease::new(LEASE_DURATION_MICROS, DRIFT_PER_MILLE, process_start),
         };
-        let mut world = World {
+        let mut system = SystemState {
             tick: 0,
-            purged: None,
+            purged_at_tick: None,
             relays: (0..self.relays).map(relay).collect(),
             subscribers: self.subscriber_clock_rates.iter().map(subscriber).collect(),
-            net: BTreeSet::new(),
+            network: BTreeSet::new(),
             budget: self.budget,
             relay_crashes: self.relay_crashes,
             subscriber_crashes: self.subscriber_crashes,
@@ -365,70 +387,86 @@
             leases_expired: false,
         };
         if self.starts_with_purge {
-            world.purged = Some(0);
-            world.relays[WATERMARK_RELAY].offset = PURGE;
-            world.relays[WATERMARK_RELAY].watermark.record_known(BEGIN, None, PURGE);
+            system.purged_at_tick = Some(0);
+            system.relays[WATERMARK_RELAY].offset = PURGE_OFFSET;
+            system.relays[WATERMARK_RELAY].watermark.record_known(START_MICROS, None, PURGE_OFFSET);
         }
-        vec![world]
+        vec![system]
     }
 
-    fn actions(&self, world: &World, actions: &mut Vec<Action>) {
+    fn actions(&self, system: &SystemState, actions: &mut Vec<Action>) {
         let subscribers = 0..self.subscriber_clock_rates.len();
-        if world.tick < self.ticks {
+        if system.tick < self.ticks {
             actions.push(Action::Tick);
         }
-        // Late enough for a lease from before, early enough for its end.
-        if world.purged.is_none() && world.tick == 1 {
+        // Late enough for an earlier lease to be granted, early enough for it to expire.
+        if system.purged_at_tick.is_none() && system.tick == 1 {
             actions.push(Action::Purge);
         }
-        let bus_polls = |relay: &usize| world.budget.bus_polls[*relay] > 0;
+        let bus_polls = |relay: &usize| system.budget.bus_polls[*relay] > 0;
         actions.extend((0..self.relays).filter(bus_polls).map(Action::PollBus));
-        if self.relays > 1 && world.budget.reports > 0 {
+        if self.relays > 1 && system.budget.reports > 0 {
             actions.push(Action::SendReport);
         }
-        for relay in (0..self.relays).filter(|_| world.budget.polls > 0) {
+        for relay in (0..self.relays).filter(|_| system.budget.polls > 0) {
             actions.extend(subscribers.clone().map(|subscriber| Action::PollRelay(subscriber, relay)));
         }
-        actions.extend(world.net.iter().cloned().map(Action::Deliver));
-        if world.budget.duplicates > 0 {
-            actions.extend(world.net.iter().cloned().map(Action::DeliverTwice));
+        actions.extend(system.network.iter().cloned().map(Action::Deliver));
+        if system.budget.duplicates > 0 {
+            actions.extend(system.network.iter().cloned().map(Action::DeliverTwice));
         }
-        if world.relay_crashes > 0 {
+        if system.relay_crashes > 0 {
             actions.extend((0..self.relays).map(Action::CrashRelay));
         }
-        if world.subscriber_crashes > 0 {
+        if system.subscriber_crashes > 0 {
             actions.extend(subscribers.map(Action::CrashSubscriber));
         }
     }
 
-    fn next_state(&self, last: &World, action: Action) -> Option<World> {
-        let mut world = last.clone();
-        self.act(&mut world, action)?;
-        self.record_completion(&mut world);
-        (world != *last).then_some(world)
+    fn next_state(&self, last: &SystemState, action: Action) -> Option<SystemState> {
+        let mut system = last.clone();
+        self.apply_action(&mut system, action)?;
+        self.record_completion(&mut system);
+        (system != *last).then_some(system)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no older copy after the bound", |model: &Feed, world: &World| {
-                let over = world.purged.is_some_and(|purged| (world.tick - purged) * TICK >= LEASE_DURATION);
-                !over || !model.any(world, Feed::uses_purged_copy)
+            Property::always(
+                "no purged copy is used after the lease duration",
+                |model: &Feed, system: &SystemState| {
+                    let is_over_bound = system.purged_at_tick.is_some_and(|purged_at_tick| {
+                        (system.tick - purged_at_tick) * TICK_MICROS >= LEASE_DURATION_MICROS
+                    });
+                    !is_over_bound || !model.any_subscriber(system, Feed::uses_purged_copy)
+                },
+            ),
+            Property::always(
+                "the purge is complete only without leases that lack it",
+                |model: &Feed, system: &SystemState| {
+                    !(system.acknowledged || system.leases_expired)
+                        || !model.any_subscriber(system, Feed::has_lease_without_purge)
+                },
+            ),
+            Property::always(
+                "no purged copy is used after completion by lease expiry",
+                |model: &Feed, system: &SystemState| {
+                    !system.leases_expired || !model.any_subscriber(system, Feed::uses_purged_copy)
+                },
+            ),
+            Property::always(
+                "the purge completes without further faults",
+                |model: &Feed, system: &SystemState| model.completes_without_faults(system),
+            ),
+            Property::sometimes("the purge completes by acknowledgement", |_, system: &SystemState| {
+                system.acknowledged
             }),
-            Property::always("done only without leases that lack it", |model: &Feed, world: &World| {
-                !(world.acknowledged || world.leases_expired)
-                    || !model.any(world, Feed::has_lease_without_purge)
+            Property::sometimes("the purge completes by lease expiry", |_, system: &SystemState| {
+                system.leases_expired
             }),
-            Property::always("no older copy once leases are over", |model: &Feed, world: &World| {
-                !world.leases_expired || !model.any(world, Feed::uses_purged_copy)
-            }),
-            Property::always("done at last", |model: &Feed, world: &World| {
-                model.completes_without_faults(world)
-            }),
-            Property::sometimes("acknowledged", |_, world: &World| world.acknowledged),
-            Property::sometimes("leases over", |_, world: &World| world.leases_expired),
-            Property::sometimes("lease expired", |model: &Feed, world: &World| {
-                let now = model.subscriber_clock(world, 0);
-                let lease = &world.subscribers[0].lease;
+            Property::sometimes("a renewed lease expires", |model: &Feed, system: &SystemState| {
+                let now = model.subscriber_clock(system, 0);
+                let lease = &system.subscribers[0].lease;
                 lease.as_of().is_some() && lease.is_expired(now)
             }),
         ]
--- a/crates/feed/tests/model/main.rs
+++ b/crates/feed/tests/model/main.rs
@@ -1,4 +1,4 @@
-//! Every order of events of small worlds, checked by `stateright`.
+//! Model checking of the event feed with `stateright`: all orders of events in small configurations.
 
 mod feed;
 
@@ -11,22 +11,23 @@
         builder = builder.target_max_depth(depth);
     }
     let checker = builder.spawn_bfs().join();
-    println!("{} states, {} different", checker.state_count(), checker.unique_state_count());
+    println!("{} states, {} unique", checker.state_count(), checker.unique_state_count());
     checker.assert_properties();
 }
 
-const EVEN: [u64; RELAYS] = [1_000; RELAYS];
-/// A relay that counts leases fast, and a subscriber that counts its own slowly.
-const FAST: [u64; RELAYS] = [1_100; RELAYS];
-const SLOW: u64 = 900;
+const EXACT_RATES_PER_MILLE: [u64; RELAYS] = [1_000; RELAYS];
+/// Clock rates at the drift limits: fast relays, which count leases as expired early, and a slow subscriber, which
+/// counts its own lease as valid for longer.
+const FAST_RATES_PER_MILLE: [u64; RELAYS] = [1_100; RELAYS];
+const SLOW_RATE_PER_MILLE: u64 = 900;
 
-/// One relay and one subscriber, in all orders.
-fn world(change: impl FnOnce(&mut Feed)) {
+/// Checks all orders of events for one relay and one subscriber, or for the configuration that `change` makes of it.
+fn check_with(change: impl FnOnce(&mut Feed)) {
     let mut model = Feed {
         relays: 1,
         depth: None,
         starts_with_purge: false,
-        relay_clock_rates: EVEN,
+        relay_clock_rates: EXACT_RATES_PER_MILLE,
         subscriber_clock_rates: vec![1_000],
         ticks: 4,
         relay_crashes: 0,
@@ -39,49 +40,52 @@
 
 #[test]
 fn messages_lost_late_or_duplicated_keep_all_properties() {
-    world(|_| ());
+    check_with(|_| ());
 }
 
 #[test]
 fn clocks_at_drift_limits_keep_all_properties() {
-    world(|model| (model.relay_clock_rates, model.subscriber_clock_rates) = (FAST, vec![SLOW]));
+    check_with(|model| {
+        (model.relay_clock_rates, model.subscriber_clock_rates) =
+            (FAST_RATES_PER_MILLE, vec![SLOW_RATE_PER_MILLE]);
+    });
 }
 
 #[test]
 fn restarted_subscriber_keeps_all_properties() {
-    world(|model| {
+    check_with(|model| {
         (model.subscriber_crashes, model.budget.bus_polls, model.budget.duplicates) = (1, [1; RELAYS], 0);
     });
 }
 
 #[test]
 fn restarted_relay_keeps_all_properties() {
-    world(|model| (model.relay_crashes, model.budget.duplicates) = (1, 0));
+    check_with(|model| (model.relay_crashes, model.budget.duplicates) = (1, 0));
 }
 
-fn two_relays(depth: usize) {
-    world(|model| {
+fn check_two_relays(depth: usize) {
+    check_with(|model| {
         (model.relays, model.starts_with_purge, model.depth) = (2, true, Some(depth));
         model.budget = Budget { bus_polls: [1; RELAYS], polls: 2, reports: 2, duplicates: 0 };
         model.relay_crashes = 1;
     });
 }
 
-/// As far as some seconds allow.
+/// The depth keeps the run to a few seconds.
 #[test]
 fn two_relays_keep_all_properties() {
-    two_relays(9);
+    check_two_relays(9);
 }
 
-/// Larger: minutes. `cargo test --release -p sagearch-feed --test model -- --ignored --nocapture`
+/// Takes minutes: `cargo test --release -p sagearch-feed --test model -- --ignored --nocapture`
 #[test]
 #[ignore = "takes minutes"]
 fn both_restarted_keep_all_properties() {
-    world(|model| (model.relay_crashes, model.subscriber_crashes) = (1, 1));
+    check_with(|model| (model.relay_crashes, model.subscriber_crashes) = (1, 1));
 }
 
 #[test]
 #[ignore = "takes minutes"]
 fn two_relays_over_more_steps_keep_all_properties() {
-    two_relays(10);
+    check_two_relays(10);
 }
--- a/crates/feed/tests/relays/common.rs
+++ b/crates/feed/tests/relays/common.rs
@@ -1,4 +1,4 @@
-//! What several tests build on.
+//! Helpers shared by the relay tests.
 
 use sagearch_feed::message::{Answer, Ban, FeedId, Head, Identity, Poll, RawEvent};
 use sagearch_feed::relay::{PollReply, Relay, Session, Settings};
@@ -21,59 +21,59 @@
     event(offset, None, Some(Ban { tag: Some(tag), ts, ..Ban::default() }))
 }
 
-pub fn store(name: &str, lifecycle: &str) -> Value {
-    json!({"instanceId": name, "lifecycle": lifecycle, "hostPort": "10.0.0.1:80", "weight": 1.5, "later": 1})
+pub fn store(id: &str, lifecycle: &str) -> Value {
+    json!({"instanceId": id, "lifecycle": lifecycle, "hostPort": "10.0.0.1:80", "weight": 1.5, "later": 1})
 }
 
-pub fn stores(offset: u64, reset: bool, lines: &[Value]) -> RawEvent {
-    event(offset, Some(json!({"reset": reset, "instances": lines})), None)
+pub fn endpoint_list(offset: u64, reset: bool, instances: &[Value]) -> RawEvent {
+    event(offset, Some(json!({"reset": reset, "instances": instances})), None)
 }
 
 pub fn answer(offset: u64, batch: Vec<RawEvent>) -> Answer {
     Answer { head: Head { offset, feed: feed("f"), age_ms: Some(0), snapshot: false }, batch }
 }
 
-/// Takes in changes that are current.
-pub fn take(relay: &mut Relay, now: Micros, offset: u64, batch: Vec<RawEvent>) {
-    let taken = AcceptedAnswer::NewEvents { after: relay.offset() };
-    relay.apply_upstream_answer(now, Some(now), taken, &answer(offset, batch)).unwrap();
+/// Applies new events of an upstream answer that is current at `now`.
+pub fn apply_new_events(relay: &mut Relay, now: Micros, offset: u64, batch: Vec<RawEvent>) {
+    let accepted = AcceptedAnswer::NewEvents { after: relay.offset() };
+    relay.apply_upstream_answer(now, Some(now), accepted, &answer(offset, batch)).unwrap();
 }
 
-pub fn relay(change: impl FnOnce(&mut Settings)) -> Relay {
+pub fn new_relay(change_settings: impl FnOnce(&mut Settings)) -> Relay {
     let mut settings = Settings { drift_per_mille: 0, ..Settings::new("r1", vec![]) };
-    change(&mut settings);
+    change_settings(&mut settings);
     Relay::new(settings, START)
 }
 
-/// A relay that is current at [`START`], with one list of stores as event 1.
-pub fn ready(change: impl FnOnce(&mut Settings)) -> Relay {
-    let mut relay = relay(change);
-    take(&mut relay, START, 1, vec![stores(1, true, &[store("a", "up")])]);
+/// A relay that is current at [`START`], with one endpoint list as event 1.
+pub fn ready_relay(change_settings: impl FnOnce(&mut Settings)) -> Relay {
+    let mut relay = new_relay(change_settings);
+    apply_new_events(&mut relay, START, 1, vec![endpoint_list(1, true, &[store("a", "up")])]);
     relay.tick(START);
     relay
 }
 
-pub fn named(name: &str, incarnation: u64, from: u64, hold_ms: u64) -> Poll {
+pub fn identified_poll(name: &str, incarnation: u64, from: u64, hold_ms: u64) -> Poll {
     let identity = Some(Identity { name: name.to_owned(), incarnation });
     Poll { from, hold_ms, feed: feed("f"), identity }
 }
 
-pub fn address(last: u8) -> IpAddr {
-    Ipv4Addr::new(10, 0, 0, last).into()
+pub fn address(host: u8) -> IpAddr {
+    Ipv4Addr::new(10, 0, 0, host).into()
 }
 
 pub fn poll(relay: &mut Relay, now: Micros, session: u64, poll: &Poll) -> PollReply {
     relay.handle_poll(now, Session(session), address(1), poll)
 }
 
-pub fn read(body: &[u8]) -> Answer {
+pub fn decode(body: &[u8]) -> Answer {
     serde_json::from_slice(body).unwrap()
 }
 
-/// A poll that is answered at once.
-pub fn now(reply: PollReply) -> Answer {
+/// Decodes the answer to a poll that must be answered immediately.
+pub fn immediate_answer(reply: PollReply) -> Answer {
     match reply {
-        PollReply::Answer(body) => read(&body),
-        other => panic!("{other:?}"),
+        PollReply::Answer(body) => decode(&body),
+        other => panic!("expected an immediate answer, got {other:?}"),
     }
 }
--- a/crates/feed/tests/relays/fleet.rs
+++ b/crates/feed/tests/relays/fleet.rs
@@ -1,5 +1,5 @@
-//! 2,200 subscribers in ten regions, six relays and the bus, in simulated time: real subscriptions and relays, with
-//! latencies between them.
+//! Simulates 2,200 subscribers in ten regions, six relays and the event bus in virtual time, with the real
+//! subscriptions and relays and with network latencies.
 
 use crate::common::*;
 use sagearch_feed::message::{Answer, Head, Poll, RawEvent};
@@ -13,65 +13,65 @@
 const SUBSCRIBERS: usize = 2_200;
 const RELAYS: usize = 6;
 const REGIONS: usize = 10;
-const REPORTS_EVERY: Micros = 200 * MILLISECOND;
-/// Between a relay and the bus, one way.
-const TO_BUS: Micros = 5 * MILLISECOND;
+const REPORT_INTERVAL: Micros = 200 * MILLISECOND;
+/// The one-way latency between a relay and the event bus.
+const BUS_LATENCY: Micros = 5 * MILLISECOND;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Happening {
+enum Event {
     SubscriberStep(usize),
-    RelayGets { relay: usize, subscriber: usize, number: u64, poll: Poll },
-    SubscriberGets { subscriber: usize, number: u64, body: Vec<u8> },
-    SubscriberFails { subscriber: usize, number: u64, failure: u8 },
+    RelayReceivesPoll { relay: usize, subscriber: usize, number: u64, poll: Poll },
+    SubscriberReceivesAnswer { subscriber: usize, number: u64, body: Vec<u8> },
+    PollFails { subscriber: usize, number: u64, failure: u8 },
     RelayStep(usize),
     RelayTick(usize),
-    BusGets { relay: usize, incarnation: u64, sent: Micros, from: u64 },
+    BusReceivesPoll { relay: usize, incarnation: u64, sent: Micros, from: u64 },
     BusHoldEnds { relay: usize, incarnation: u64, sent: Micros, from: u64 },
-    RelayHears { relay: usize, incarnation: u64, sent: Micros, offset: u64, from: u64 },
-    Reports,
-    Publish(u64),
-    Crash(usize),
-    Restart(usize),
+    RelayReceivesAnswer { relay: usize, incarnation: u64, sent: Micros, offset: u64, from: u64 },
+    SendReports,
+    PublishPurge(u64),
+    CrashRelay(usize),
+    RestartRelay(usize),
 }
 
-const LOST: u8 = 0;
+const CONNECTION_LOST: u8 = 0;
 const UNREACHABLE: u8 = 1;
-const SILENT: u8 = 2;
+const TIMED_OUT: u8 = 2;
 const REFUSED: u8 = 3;
 
-struct Member {
+struct SimulatedSubscriber {
     subscription: Subscription,
     region: usize,
-    /// The poll under way: its number, the relay, and when it was sent.
-    poll: Option<(u64, usize, Micros)>,
+    /// The poll in flight: its number, the relay, and when it was sent.
+    poll_in_flight: Option<(u64, usize, Micros)>,
     step_at: Micros,
 }
 
-struct Station {
+struct SimulatedRelay {
     relay: Relay,
     upstream: Subscription,
     incarnation: u64,
-    up: bool,
+    is_running: bool,
     tick_at: Option<Micros>,
-    /// Polls held, by subscriber, which is the session.
-    held: BTreeMap<Session, u64>,
+    /// The numbers of the pending polls, by session, which equals the subscriber's index.
+    pending_polls: BTreeMap<Session, u64>,
 }
 
 struct Fleet {
     now: Micros,
-    queue: BinaryHeap<Reverse<(Micros, u64, Happening)>>,
-    queued: u64,
-    polls: u64,
-    members: Vec<Member>,
-    stations: Vec<Station>,
+    queue: BinaryHeap<Reverse<(Micros, u64, Event)>>,
+    scheduled_count: u64,
+    poll_count: u64,
+    subscribers: Vec<SimulatedSubscriber>,
+    relays: Vec<SimulatedRelay>,
     events: Vec<RawEvent>,
-    published: Vec<Micros>,
-    bus_waits: Vec<(usize, u64, Micros, u64)>,
-    /// First polls after a crash, by 10 ms.
-    returns: BTreeMap<Micros, usize>,
+    published_at: Vec<Micros>,
+    bus_polls: Vec<(usize, u64, Micros, u64)>,
+    /// The number of polls without a hold after a crash, by 10 ms.
+    first_polls_by_10_ms: BTreeMap<Micros, usize>,
     crashed_at: Option<Micros>,
-    snapshots: usize,
-    refused: usize,
+    snapshot_count: usize,
+    refused_count: usize,
 }
 
 fn latency(one: usize, other: usize) -> Micros {
@@ -81,7 +81,7 @@
     }
 }
 
-fn station(relay: usize, incarnation: u64, now: Micros) -> Station {
+fn start_relay(relay: usize, incarnation: u64, now: Micros) -> SimulatedRelay {
     let name = |relay| format!("relay-{relay}");
     let peers = (0..RELAYS).filter(|other| *other != relay).map(name).collect();
     let upstream = Settings {
@@ -89,13 +89,13 @@
         hold: 100 * MILLISECOND,
         ..Settings::new(&name(relay), incarnation, vec!["bus".to_owned()])
     };
-    Station {
+    SimulatedRelay {
         relay: Relay::new(RelaySettings::new(&name(relay), peers), now),
         upstream: Subscription::new(upstream, relay as u64, now),
         incarnation,
-        up: true,
+        is_running: true,
         tick_at: None,
-        held: BTreeMap::new(),
+        pending_polls: BTreeMap::new(),
     }
 }
 
@@ -104,349 +104,375 @@
         let mut fleet = Fleet {
             now: START,
             queue: BinaryHeap::new(),
-            queued: 0,
-            polls: 0,
-            members: Vec::new(),
-            stations: (0..RELAYS).map(|relay| station(relay, 1, START)).collect(),
-            events: vec![stores(1, true, &[store("a", "up")])],
-            published: vec![START],
-            bus_waits: Vec::new(),
-            returns: BTreeMap::new(),
+            scheduled_count: 0,
+            poll_count: 0,
+            subscribers: Vec::new(),
+            relays: (0..RELAYS).map(|relay| start_relay(relay, 1, START)).collect(),
+            events: vec![endpoint_list(1, true, &[store("a", "up")])],
+            published_at: vec![START],
+            bus_polls: Vec::new(),
+            first_polls_by_10_ms: BTreeMap::new(),
             crashed_at: None,
-            snapshots: 0,
-            refused: 0,
+            snapshot_count: 0,
+            refused_count: 0,
         };
         for number in 0..SUBSCRIBERS {
             let region = number % REGIONS;
-            let mut near: Vec<usize> = (0..RELAYS).collect();
-            near.sort_by_key(|relay| (latency(region, *relay), *relay));
-            let relays = near.iter().map(|relay| format!("relay-{relay}")).collect();
+            let mut by_latency: Vec<usize> = (0..RELAYS).collect();
+            by_latency.sort_by_key(|relay| (latency(region, *relay), *relay));
+            let relays = by_latency.iter().map(|relay| format!("relay-{relay}")).collect();
             let settings = Settings { preferred: 1, ..Settings::new(&format!("g{number}"), 1, relays) };
             let subscription = Subscription::new(settings, number as u64, START);
-            fleet.members.push(Member { subscription, region, poll: None, step_at: START });
-            // They start over a second.
-            fleet.after(number as u64 * 450, Happening::SubscriberStep(number));
+            fleet.subscribers.push(SimulatedSubscriber {
+                subscription,
+                region,
+                poll_in_flight: None,
+                step_at: START,
+            });
+            // The starts of the subscribers are spread over a second.
+            fleet.schedule(number as u64 * 450, Event::SubscriberStep(number));
         }
         for relay in 0..RELAYS {
-            fleet.after(0, Happening::RelayStep(relay));
+            fleet.schedule(0, Event::RelayStep(relay));
         }
-        fleet.after(REPORTS_EVERY, Happening::Reports);
+        fleet.schedule(REPORT_INTERVAL, Event::SendReports);
         fleet
     }
 
-    fn after(&mut self, wait: Micros, happening: Happening) {
-        self.queued += 1;
-        self.queue.push(Reverse((self.now + wait, self.queued, happening)));
+    fn schedule(&mut self, delay: Micros, event: Event) {
+        self.scheduled_count += 1;
+        self.queue.push(Reverse((self.now + delay, self.scheduled_count, event)));
     }
 
-    /// Runs for so long, and calls back every 10 ms.
-    fn run(&mut self, span: Micros, mut watch: impl FnMut(&Fleet)) {
-        let end = self.now + span;
-        let mut watch_at = self.now;
-        while let Some(Reverse((at, ..))) = self.queue.peek()
-            && *at <= end
+    /// Runs the simulation for `duration`, and calls `observe` about every 10 ms.
+    fn run(&mut self, duration: Micros, mut observe: impl FnMut(&Fleet)) {
+        let end = self.now + duration;
+        let mut observe_at = self.now;
+        while let Some(Reverse((event_time, ..))) = self.queue.peek()
+            && *event_time <= end
         {
-            let Some(Reverse((at, _, happening))) = self.queue.pop() else { break };
-            self.now = at;
-            self.act(happening);
-            if self.now >= watch_at {
-                watch(self);
-                watch_at = self.now + 10 * MILLISECOND;
+            let Some(Reverse((event_time, _, event))) = self.queue.pop() else { break };
+            self.now = event_time;
+            self.handle(event);
+            if self.now >= observe_at {
+                observe(self);
+                observe_at = self.now + 10 * MILLISECOND;
             }
         }
         self.now = end;
     }
 
-    fn act(&mut self, happening: Happening) {
-        match happening {
-            Happening::SubscriberStep(subscriber) => self.subscriber_step(subscriber),
-            Happening::RelayGets { relay, subscriber, number, poll } => {
-                self.relay_gets(relay, subscriber, number, &poll);
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::SubscriberStep(subscriber) => self.subscriber_step(subscriber),
+            Event::RelayReceivesPoll { relay, subscriber, number, poll } => {
+                self.relay_receives_poll(relay, subscriber, number, &poll);
             }
-            Happening::SubscriberGets { subscriber, number, body } => {
-                self.subscriber_gets(subscriber, number, &body);
+            Event::SubscriberReceivesAnswer { subscriber, number, body } => {
+                self.subscriber_receives_answer(subscriber, number, &body);
             }
-            Happening::SubscriberFails { subscriber, number, failure } => {
-                self.subscriber_fails(subscriber, number, failure);
+            Event::PollFails { subscriber, number, failure } => {
+                self.poll_fails(subscriber, number, failure);
             }
-            Happening::RelayStep(relay) => self.relay_step(relay),
-            Happening::RelayTick(relay) => {
-                self.stations[relay].tick_at = None;
+            Event::RelayStep(relay) => self.relay_step(relay),
+            Event::RelayTick(relay) => {
+                self.relays[relay].tick_at = None;
                 self.relay_tick(relay);
             }
-            Happening::BusGets { relay, incarnation, sent, from } => {
+            Event::BusReceivesPoll { relay, incarnation, sent, from } => {
                 if from < self.events.len() as u64 {
-                    self.bus_answers(relay, incarnation, sent, from);
+                    self.send_bus_answer(relay, incarnation, sent, from);
                 } else {
-                    self.bus_waits.push((relay, incarnation, sent, from));
-                    self.after(100 * MILLISECOND, Happening::BusHoldEnds { relay, incarnation, sent, from });
+                    self.bus_polls.push((relay, incarnation, sent, from));
+                    self.schedule(100 * MILLISECOND, Event::BusHoldEnds { relay, incarnation, sent, from });
                 }
             }
-            Happening::BusHoldEnds { relay, incarnation, sent, from } => {
+            Event::BusHoldEnds { relay, incarnation, sent, from } => {
                 let ended = (relay, incarnation, sent, from);
-                if let Some(place) = self.bus_waits.iter().position(|wait| *wait == ended) {
-                    self.bus_waits.swap_remove(place);
-                    self.bus_answers(relay, incarnation, sent, from);
+                if let Some(index) = self.bus_polls.iter().position(|poll| *poll == ended) {
+                    self.bus_polls.swap_remove(index);
+                    self.send_bus_answer(relay, incarnation, sent, from);
                 }
             }
-            Happening::RelayHears { relay, incarnation, sent, offset, from } => {
-                self.relay_hears(relay, incarnation, sent, offset, from);
+            Event::RelayReceivesAnswer { relay, incarnation, sent, offset, from } => {
+                self.relay_receives_answer(relay, incarnation, sent, offset, from);
             }
-            Happening::Reports => self.reports(),
-            Happening::Publish(tag) => self.publish(tag),
-            Happening::Crash(relay) => self.crash(relay),
-            Happening::Restart(relay) => {
-                let incarnation = self.stations[relay].incarnation + 1;
-                self.stations[relay] = station(relay, incarnation, self.now);
-                self.after(0, Happening::RelayStep(relay));
+            Event::SendReports => self.send_reports(),
+            Event::PublishPurge(tag) => self.publish_purge(tag),
+            Event::CrashRelay(relay) => self.crash_relay(relay),
+            Event::RestartRelay(relay) => {
+                let incarnation = self.relays[relay].incarnation + 1;
+                self.relays[relay] = start_relay(relay, incarnation, self.now);
+                self.schedule(0, Event::RelayStep(relay));
             }
         }
     }
 
     fn subscriber_step(&mut self, subscriber: usize) {
         let now = self.now;
-        let member = &mut self.members[subscriber];
-        if member.poll.is_some() || now < member.step_at {
+        let simulated_subscriber = &mut self.subscribers[subscriber];
+        if simulated_subscriber.poll_in_flight.is_some() || now < simulated_subscriber.step_at {
             return;
         }
-        match member.subscription.next_step(now) {
+        match simulated_subscriber.subscription.next_step(now) {
             Step::Wait { until } => {
-                member.step_at = until;
-                self.after(until - now, Happening::SubscriberStep(subscriber));
+                simulated_subscriber.step_at = until;
+                self.schedule(until - now, Event::SubscriberStep(subscriber));
             }
             Step::Poll { relay: index, poll, timeout } => {
-                let mut near: Vec<usize> = (0..RELAYS).collect();
-                near.sort_by_key(|relay| (latency(member.region, *relay), *relay));
-                let relay = near[index];
-                self.polls += 1;
-                let number = self.polls;
-                member.poll = Some((number, relay, now));
-                let wait = latency(member.region, relay);
+                let mut by_latency: Vec<usize> = (0..RELAYS).collect();
+                by_latency.sort_by_key(|relay| (latency(simulated_subscriber.region, *relay), *relay));
+                let relay = by_latency[index];
+                self.poll_count += 1;
+                let number = self.poll_count;
+                simulated_subscriber.poll_in_flight = Some((number, relay, now));
+                let delay = latency(simulated_subscriber.region, relay);
                 if let Some(crashed) = self.crashed_at
                     && poll.hold_ms == 0
                 {
-                    *self.returns.entry((now - crashed) / (10 * MILLISECOND)).or_default() += 1;
+                    *self.first_polls_by_10_ms.entry((now - crashed) / (10 * MILLISECOND)).or_default() += 1;
                 }
-                self.after(wait, Happening::RelayGets { relay, subscriber, number, poll });
-                let failure = SILENT;
-                self.after(timeout, Happening::SubscriberFails { subscriber, number, failure });
+                self.schedule(delay, Event::RelayReceivesPoll { relay, subscriber, number, poll });
+                let failure = TIMED_OUT;
+                self.schedule(timeout, Event::PollFails { subscriber, number, failure });
             }
         }
     }
 
-    fn relay_gets(&mut self, relay: usize, subscriber: usize, number: u64, poll: &Poll) {
+    fn relay_receives_poll(&mut self, relay: usize, subscriber: usize, number: u64, poll: &Poll) {
         let session = Session(subscriber as u64);
-        let wait = latency(self.members[subscriber].region, relay);
-        let station = &mut self.stations[relay];
-        if !station.up {
+        let delay = latency(self.subscribers[subscriber].region, relay);
+        let simulated_relay = &mut self.relays[relay];
+        if !simulated_relay.is_running {
             let failure = UNREACHABLE;
-            return self.after(wait, Happening::SubscriberFails { subscriber, number, failure });
+            return self.schedule(delay, Event::PollFails { subscriber, number, failure });
         }
-        match station.relay.handle_poll(self.now, session, address(0), poll) {
+        match simulated_relay.relay.handle_poll(self.now, session, address(0), poll) {
             PollReply::Answer(body) => {
                 let body = body.to_vec();
-                self.after(wait, Happening::SubscriberGets { subscriber, number, body });
+                self.schedule(delay, Event::SubscriberReceivesAnswer { subscriber, number, body });
             }
             PollReply::Pending => {
-                station.held.insert(session, number);
-                self.plan_tick(relay);
+                simulated_relay.pending_polls.insert(session, number);
+                self.schedule_tick(relay);
             }
             PollReply::Busy { .. } => {
                 let failure = REFUSED;
-                self.after(wait, Happening::SubscriberFails { subscriber, number, failure });
+                self.schedule(delay, Event::PollFails { subscriber, number, failure });
             }
             PollReply::Invalid(cause) => panic!("{cause}"),
         }
     }
 
-    fn plan_tick(&mut self, relay: usize) {
-        let station = &mut self.stations[relay];
-        let Some(next) = station.relay.next_tick() else { return };
-        if station.tick_at.is_none_or(|planned| next < planned) {
-            station.tick_at = Some(next);
-            let wait = next.saturating_sub(self.now);
-            self.after(wait, Happening::RelayTick(relay));
+    fn schedule_tick(&mut self, relay: usize) {
+        let simulated_relay = &mut self.relays[relay];
+        let Some(next) = simulated_relay.relay.next_tick() else { return };
+        if simulated_relay.tick_at.is_none_or(|scheduled| next < scheduled) {
+            simulated_relay.tick_at = Some(next);
+            let delay = next.saturating_sub(self.now);
+            self.schedule(delay, Event::RelayTick(relay));
         }
     }
 
     fn relay_tick(&mut self, relay: usize) {
-        if !self.stations[relay].up {
+        if !self.relays[relay].is_running {
             return;
         }
-        for DueAnswer { session, body } in self.stations[relay].relay.tick(self.now) {
-            let Some(number) = self.stations[relay].held.remove(&session) else { continue };
+        for DueAnswer { session, body } in self.relays[relay].relay.tick(self.now) {
+            let Some(number) = self.relays[relay].pending_polls.remove(&session) else { continue };
             let subscriber = session.0 as usize;
-            let wait = latency(self.members[subscriber].region, relay);
+            let delay = latency(self.subscribers[subscriber].region, relay);
             let body = body.to_vec();
-            self.after(wait, Happening::SubscriberGets { subscriber, number, body });
+            self.schedule(delay, Event::SubscriberReceivesAnswer { subscriber, number, body });
         }
-        self.plan_tick(relay);
+        self.schedule_tick(relay);
     }
 
-    fn subscriber_gets(&mut self, subscriber: usize, number: u64, body: &[u8]) {
-        let member = &mut self.members[subscriber];
-        let Some((_, _, sent)) = member.poll.take_if(|poll| poll.0 == number) else { return };
+    fn subscriber_receives_answer(&mut self, subscriber: usize, number: u64, body: &[u8]) {
+        let simulated_subscriber = &mut self.subscribers[subscriber];
+        let Some((_, _, sent)) = simulated_subscriber.poll_in_flight.take_if(|poll| poll.0 == number) else {
+            return;
+        };
         let head: Head = serde_json::from_slice(body).unwrap();
-        self.snapshots += usize::from(head.snapshot);
-        member.subscription.poll_answered(self.now, sent, &head).unwrap();
-        member.subscription.events_applied(self.now);
-        member.step_at = self.now;
+        self.snapshot_count += usize::from(head.snapshot);
+        simulated_subscriber.subscription.poll_answered(self.now, sent, &head).unwrap();
+        simulated_subscriber.subscription.events_applied(self.now);
+        simulated_subscriber.step_at = self.now;
         self.subscriber_step(subscriber);
     }
 
-    fn subscriber_fails(&mut self, subscriber: usize, number: u64, failure: u8) {
-        let member = &mut self.members[subscriber];
-        let Some((_, relay, _)) = member.poll.take_if(|poll| poll.0 == number) else { return };
+    fn poll_fails(&mut self, subscriber: usize, number: u64, failure: u8) {
+        let simulated_subscriber = &mut self.subscribers[subscriber];
+        let Some((_, relay, _)) = simulated_subscriber.poll_in_flight.take_if(|poll| poll.0 == number) else {
+            return;
+        };
         let failure = match failure {
-            LOST => PollFailure::ConnectionLost,
+            CONNECTION_LOST => PollFailure::ConnectionLost,
             UNREACHABLE => PollFailure::Unreachable,
-            SILENT => PollFailure::TimedOut,
+            TIMED_OUT => PollFailure::TimedOut,
             _ => PollFailure::Refused { retry_after: Some(100 * MILLISECOND) },
         };
-        self.refused += usize::from(matches!(failure, PollFailure::Refused { .. }));
-        member.subscription.poll_failed(self.now, failure);
-        member.step_at = self.now;
-        self.stations[relay].relay.session_closed(Session(subscriber as u64));
-        self.stations[relay].held.remove(&Session(subscriber as u64));
+        self.refused_count += usize::from(matches!(failure, PollFailure::Refused { .. }));
+        simulated_subscriber.subscription.poll_failed(self.now, failure);
+        simulated_subscriber.step_at = self.now;
+        self.relays[relay].relay.session_closed(Session(subscriber as u64));
+        self.relays[relay].pending_polls.remove(&Session(subscriber as u64));
         self.subscriber_step(subscriber);
     }
 
     fn relay_step(&mut self, relay: usize) {
         let now = self.now;
-        let station = &mut self.stations[relay];
-        let incarnation = station.incarnation;
-        match station.upstream.next_step(now) {
-            Step::Wait { until } => self.after(until - now, Happening::RelayStep(relay)),
+        let simulated_relay = &mut self.relays[relay];
+        let incarnation = simulated_relay.incarnation;
+        match simulated_relay.upstream.next_step(now) {
+            Step::Wait { until } => self.schedule(until - now, Event::RelayStep(relay)),
             Step::Poll { poll, .. } => {
-                let gets = Happening::BusGets { relay, incarnation, sent: now, from: poll.from };
-                self.after(TO_BUS, gets);
+                let bus_poll = Event::BusReceivesPoll { relay, incarnation, sent: now, from: poll.from };
+                self.schedule(BUS_LATENCY, bus_poll);
             }
         }
     }
 
-    fn bus_answers(&mut self, relay: usize, incarnation: u64, sent: Micros, from: u64) {
+    fn send_bus_answer(&mut self, relay: usize, incarnation: u64, sent: Micros, from: u64) {
         let offset = self.events.len() as u64;
-        self.after(TO_BUS, Happening::RelayHears { relay, incarnation, sent, offset, from });
+        self.schedule(BUS_LATENCY, Event::RelayReceivesAnswer { relay, incarnation, sent, offset, from });
     }
 
-    fn relay_hears(&mut self, relay: usize, incarnation: u64, sent: Micros, offset: u64, from: u64) {
+    fn relay_receives_answer(
+        &mut self,
+        relay: usize,
+        incarnation: u64,
+        sent: Micros,
+        offset: u64,
+        from: u64,
+    ) {
         let now = self.now;
-        let station = &mut self.stations[relay];
-        if !station.up || station.incarnation != incarnation {
+        let simulated_relay = &mut self.relays[relay];
+        if !simulated_relay.is_running || simulated_relay.incarnation != incarnation {
             return;
         }
         let head = Head { offset, feed: feed("f"), age_ms: None, snapshot: false };
         let batch = self.events[from as usize..offset as usize].to_vec();
-        let taken = station.upstream.poll_answered(now, sent, &head).unwrap();
-        let as_of = match taken {
-            AcceptedAnswer::NoNewEvents => station.upstream.lease().as_of(),
-            _ => station.upstream.unapplied_as_of(),
+        let accepted = simulated_relay.upstream.poll_answered(now, sent, &head).unwrap();
+        let as_of = match accepted {
+            AcceptedAnswer::NoNewEvents => simulated_relay.upstream.lease().as_of(),
+            _ => simulated_relay.upstream.unapplied_as_of(),
         };
-        station.relay.apply_upstream_answer(now, as_of, taken, &Answer { head, batch }).unwrap();
-        station.upstream.events_applied(now);
-        self.plan_tick(relay);
+        simulated_relay.relay.apply_upstream_answer(now, as_of, accepted, &Answer { head, batch }).unwrap();
+        simulated_relay.upstream.events_applied(now);
+        self.schedule_tick(relay);
         self.relay_step(relay);
     }
 
-    fn reports(&mut self) {
+    fn send_reports(&mut self) {
         let now = self.now;
-        for from in (0..RELAYS).filter(|from| self.stations[*from].up).collect::<Vec<_>>() {
-            let report = self.stations[from].relay.report(now);
-            for station in &mut self.stations {
-                station.relay.apply_peer_report(now, &report.relay, &report);
+        for from in (0..RELAYS).filter(|from| self.relays[*from].is_running).collect::<Vec<_>>() {
+            let report = self.relays[from].relay.report(now);
+            for simulated_relay in &mut self.relays {
+                simulated_relay.relay.apply_peer_report(now, &report.relay, &report);
             }
         }
-        self.after(REPORTS_EVERY, Happening::Reports);
+        self.schedule(REPORT_INTERVAL, Event::SendReports);
     }
 
-    fn publish(&mut self, tag: u64) {
+    fn publish_purge(&mut self, tag: u64) {
         let offset = self.events.len() as u64 + 1;
         self.events.push(purge(offset, tag, 1));
-        self.published.push(self.now);
-        for (relay, incarnation, sent, from) in std::mem::take(&mut self.bus_waits) {
-            self.bus_answers(relay, incarnation, sent, from);
+        self.published_at.push(self.now);
+        for (relay, incarnation, sent, from) in std::mem::take(&mut self.bus_polls) {
+            self.send_bus_answer(relay, incarnation, sent, from);
         }
     }
 
-    fn crash(&mut self, relay: usize) {
+    fn crash_relay(&mut self, relay: usize) {
         self.crashed_at.get_or_insert(self.now);
-        self.stations[relay].up = false;
-        for (session, number) in std::mem::take(&mut self.stations[relay].held) {
+        self.relays[relay].is_running = false;
+        for (session, number) in std::mem::take(&mut self.relays[relay].pending_polls) {
             let subscriber = session.0 as usize;
-            let wait = latency(self.members[subscriber].region, relay);
-            self.after(wait, Happening::SubscriberFails { subscriber, number, failure: LOST });
+            let delay = latency(self.subscribers[subscriber].region, relay);
+            self.schedule(delay, Event::PollFails { subscriber, number, failure: CONNECTION_LOST });
         }
     }
 
-    fn with_expired_lease(&self) -> usize {
-        let expired_leases = |member: &&Member| member.subscription.lease().is_expired(self.now);
-        self.members.iter().filter(expired_leases).count()
+    fn expired_lease_count(&self) -> usize {
+        let has_expired_lease = |simulated_subscriber: &&SimulatedSubscriber| {
+            simulated_subscriber.subscription.lease().is_expired(self.now)
+        };
+        self.subscribers.iter().filter(has_expired_lease).count()
     }
 
-    /// Nobody trusts a copy although it lacks the event.
-    fn settled(&self, offset: u64) -> bool {
-        let settled = |member: &Member| {
-            member.subscription.offset() >= offset || member.subscription.lease().is_expired(self.now)
+    /// Whether each subscriber has applied the events up to `offset` or has an expired lease.
+    fn applied_or_expired(&self, offset: u64) -> bool {
+        let applied_or_expired = |simulated_subscriber: &SimulatedSubscriber| {
+            simulated_subscriber.subscription.offset() >= offset
+                || simulated_subscriber.subscription.lease().is_expired(self.now)
         };
-        self.members.iter().all(settled)
+        self.subscribers.iter().all(applied_or_expired)
     }
 
-    /// Publishes purges every 300 ms for so long, and holds that each is settled within the bound and before any relay
-    /// reports it complete. Returns what relay 0 reported of each, and the most leases expired at one time.
-    fn play(&mut self, span: Micros) -> (Vec<Completion>, usize) {
-        for number in 0..span / (300 * MILLISECOND) {
-            self.after(number * 300 * MILLISECOND, Happening::Publish(number));
+    /// Publishes a purge every 300 ms for `duration`. Checks for each that every subscriber has applied it or has an
+    /// expired lease, both within the bound and before relay 0 reports the purge complete. Returns the completions
+    /// reported by relay 0, and the maximum number of leases expired at one time.
+    fn publish_and_check(&mut self, duration: Micros) -> (Vec<Completion>, usize) {
+        for number in 0..duration / (300 * MILLISECOND) {
+            self.schedule(number * 300 * MILLISECOND, Event::PublishPurge(number));
         }
-        let first = self.published.len();
-        let mut done: BTreeMap<u64, Completion> = BTreeMap::new();
-        let mut most_expired = 0;
-        self.run(span + 2_500 * MILLISECOND, |fleet| {
-            most_expired = most_expired.max(fleet.with_expired_lease());
-            for (index, published) in fleet.published.iter().enumerate().skip(first) {
+        let first_index = self.published_at.len();
+        let mut completions: BTreeMap<u64, Completion> = BTreeMap::new();
+        let mut max_expired = 0;
+        self.run(duration + 2_500 * MILLISECOND, |fleet| {
+            max_expired = max_expired.max(fleet.expired_lease_count());
+            for (index, published_at) in fleet.published_at.iter().enumerate().skip(first_index) {
                 let offset = index as u64 + 1;
-                if done.contains_key(&offset) {
+                if completions.contains_key(&offset) {
                     continue;
                 }
-                let said = fleet.stations[0].relay.completion(fleet.now, offset);
-                let late = fleet.now - published >= 1_900 * MILLISECOND;
-                if said.is_some() || late {
-                    assert!(fleet.settled(offset), "event {offset}, {said:?}, late: {late}");
+                let completion = fleet.relays[0].relay.completion(fleet.now, offset);
+                let is_late = fleet.now - published_at >= 1_900 * MILLISECOND;
+                if completion.is_some() || is_late {
+                    assert!(
+                        fleet.applied_or_expired(offset),
+                        "event {offset}, {completion:?}, late: {is_late}"
+                    );
                 }
-                done.extend(said.map(|said| (offset, said)));
+                completions.extend(completion.map(|completion| (offset, completion)));
             }
         });
-        assert_eq!(done.len(), fleet_events(self, first));
-        (done.into_values().collect(), most_expired)
+        assert_eq!(completions.len(), published_since(self, first_index));
+        (completions.into_values().collect(), max_expired)
     }
 }
 
-fn fleet_events(fleet: &Fleet, first: usize) -> usize {
-    fleet.published.len() - first
+fn published_since(fleet: &Fleet, first_index: usize) -> usize {
+    fleet.published_at.len() - first_index
 }
 
 #[test]
 fn purges_reach_all_subscribers_within_bound_when_relay_is_lost() {
     let mut fleet = Fleet::new();
     fleet.run(4_000 * MILLISECOND, |_| ());
-    assert_eq!(fleet.with_expired_lease(), 0);
-    let (done, expired_leases) = fleet.play(3_000 * MILLISECOND);
-    let slowest = done.iter().map(|done| done.elapsed_ms).max().unwrap();
-    println!("calm: slowest {slowest} ms, expired {expired_leases}, polls {}", fleet.polls);
-    assert_eq!(expired_leases, 0);
-    assert!(slowest < 900, "acknowledged, not waited for: {slowest} ms");
+    assert_eq!(fleet.expired_lease_count(), 0);
+    let (completions, max_expired) = fleet.publish_and_check(3_000 * MILLISECOND);
+    let slowest_ms = completions.iter().map(|completion| completion.elapsed_ms).max().unwrap();
+    println!(
+        "without faults: slowest completion {slowest_ms} ms, at most {max_expired} expired leases, {} polls",
+        fleet.poll_count
+    );
+    assert_eq!(max_expired, 0);
+    assert!(slowest_ms < 900, "purges complete by acknowledgement, not by lease expiry: {slowest_ms} ms");
 
-    // Relay 2 is lost with all its connections, and comes back knowing nothing.
-    fleet.after(50 * MILLISECOND, Happening::Crash(2));
-    fleet.after(3_000 * MILLISECOND, Happening::Restart(2));
-    let (done, expired_leases) = fleet.play(5_000 * MILLISECOND);
-    let slowest = done.iter().map(|done| done.elapsed_ms).max().unwrap();
-    let most_returns = fleet.returns.values().max().unwrap();
+    // Relay 2 crashes, which closes all its connections, and restarts without state.
+    fleet.schedule(50 * MILLISECOND, Event::CrashRelay(2));
+    fleet.schedule(3_000 * MILLISECOND, Event::RestartRelay(2));
+    let (completions, max_expired) = fleet.publish_and_check(5_000 * MILLISECOND);
+    let slowest_ms = completions.iter().map(|completion| completion.elapsed_ms).max().unwrap();
+    let max_first_polls = fleet.first_polls_by_10_ms.values().max().unwrap();
     println!(
-        "a relay lost: slowest {slowest} ms, expired {expired_leases}, most first polls in 10 ms {most_returns}, \
-         snapshots {}, refused {}",
-        fleet.snapshots, fleet.refused
+        "one relay lost: slowest completion {slowest_ms} ms, at most {max_expired} expired leases, at most \
+         {max_first_polls} first polls in 10 ms, {} snapshots, {} refused polls",
+        fleet.snapshot_count, fleet.refused_count
     );
-    assert!(slowest <= 1_800, "{slowest} ms");
-    assert!(expired_leases < 20, "{expired_leases}");
-    assert!(*most_returns < 100, "{:?}", fleet.returns);
+    assert!(slowest_ms <= 1_800, "{slowest_ms} ms");
+    assert!(max_expired < 20, "{max_expired}");
+    assert!(*max_first_polls < 100, "{:?}", fleet.first_polls_by_10_ms);
 }
--- a/crates/feed/tests/relays/main.rs
+++ b/crates/feed/tests/relays/main.rs
@@ -1,4 +1,4 @@
-//! Relays with what they answer, what they call done, and 2,200 subscribers of six of them.
+//! Tests of relays: their answers, the completion of events, and a simulation of six relays with 2,200 subscribers.
 
 mod answers;
 mod common;
