--- a/crates/feed/src/lease.rs
+++ b/crates/feed/src/lease.rs
@@ -35,11 +35,11 @@
     /// Whether the lease has expired, so that events older than its duration may be missing. True before the first
     /// answer.
     pub fn is_expired(&self, now: Micros) -> bool {
-        self.until().is_none_or(|until| now >= until)
+        self.expires_at().is_none_or(|expires_at| now >= expires_at)
     }
 
     /// The time at which the lease expires unless it is renewed; `None` before the first answer.
-    pub fn until(&self) -> Option<Micros> {
+    pub fn expires_at(&self) -> Option<Micros> {
         self.as_of.map(|as_of| as_of.saturating_add(self.guaranteed_duration()))
     }
 
--- a/crates/feed/src/subscription.rs
+++ b/crates/feed/src/subscription.rs
@@ -160,7 +160,7 @@
         let next_answer_due = now.saturating_add(self.settings.hold);
         match as_of {
             _ if self.settings.plain_bus => self.answer_renewed_lease(now),
-            Some(_) if self.lease.until().is_some_and(|until| until > next_answer_due) => {
+            Some(_) if self.lease.expires_at().is_some_and(|expires_at| expires_at > next_answer_due) => {
                 self.answer_renewed_lease(now);
             }
             // The answer contains only some of the new events; the next one contains the others.
@@ -352,6 +352,6 @@
     }
 
     fn remaining_lease(&self, now: Micros) -> Micros {
-        self.lease.until().map_or(0, |until| until.saturating_sub(now))
+        self.lease.expires_at().map_or(0, |expires_at| expires_at.saturating_sub(now))
     }
 }
--- a/crates/feed/tests/lease.rs
+++ b/crates/feed/tests/lease.rs
@@ -9,7 +9,7 @@
 fn lease_before_first_answer_is_expired() {
     let lease = Lease::new(DURATION_MICROS, 10, 0);
     assert!(lease.is_expired(0) && lease.is_expired(u64::MAX));
-    assert_eq!((lease.until(), lease.as_of()), (None, None));
+    assert_eq!((lease.expires_at(), lease.as_of()), (None, None));
     assert_eq!(lease.purge_floor(5_000_000), Some(5_000_000 - 1_683_000));
 }
 
@@ -17,7 +17,7 @@
 fn lease_at_its_end_expires() {
     let mut lease = Lease::new(DURATION_MICROS, 10, 0);
     lease.renew(1_000_000);
-    assert_eq!(lease.until(), Some(2_683_000));
+    assert_eq!(lease.expires_at(), Some(2_683_000));
     assert!(!lease.is_expired(2_682_999) && lease.is_expired(2_683_000));
     assert_eq!(lease.purge_floor(2_682_999), None);
 }
--- a/crates/feed/tests/subscription.rs
+++ b/crates/feed/tests/subscription.rs
@@ -252,8 +252,8 @@
         subscription.events_applied(START);
         subscription.poll_failed(lost, PollFailure::Unreachable);
         let (sent, ..) = next_poll(&mut subscription, lost);
-        let until = subscription.lease().until().unwrap();
-        assert!(sent - lost <= (until - lost) / 2, "another relay can be polled before lease expiry");
+        let expires_at = subscription.lease().expires_at().unwrap();
+        assert!(sent - lost <= (expires_at - lost) / 2, "another relay can be polled before lease expiry");
         *polls_by_10_ms.entry((sent - lost) / 10_000).or_default() += 1;
     }
     let most_polls = polls_by_10_ms.values().max().unwrap();
@@ -272,8 +272,8 @@
     let mut subscription = following(1, 5);
     subscription.poll_failed(START, refused(3_600));
     let (sent, ..) = next_poll(&mut subscription, START);
-    let until = subscription.lease().until().unwrap();
-    assert!(sent < until - 200_000 && sent > START + 1_000_000, "{}", sent - START);
+    let expires_at = subscription.lease().expires_at().unwrap();
+    assert!(sent < expires_at - 200_000 && sent > START + 1_000_000, "{}", sent - START);
     // After lease expiry the delay is limited to the lease duration.
     let after_expiry = START + 10_000_000;
     subscription.poll_failed(after_expiry, refused(3_600));
