--- a/crates/lab/src/scale/host/observing_sink.rs
+++ b/crates/lab/src/scale/host/observing_sink.rs
@@ -49,7 +49,7 @@
     }
 
     fn renew_freshness(&self, lease: Lease, revalidations: u32) {
-        let until = lease.until();
+        let until = lease.expires_at();
         self.inner.renew_freshness(lease, revalidations);
         if let Some(until) = until {
             let until_us = self.clock.wait().unix_us(until);
--- a/src/broker/freshness.rs
+++ b/src/broker/freshness.rs
@@ -42,7 +42,7 @@
         let Some(lease) = self.router.freshness.lease().filter(|lease| lease.is_expired(now)) else {
             return false;
         };
-        let expired = lease.until().is_some_and(|until| picked < until);
+        let expired = lease.expires_at().is_some_and(|until| picked < until);
         self.unsent_after_expiry.set(self.unsent_after_expiry.get() + u64::from(expired));
         expired
     }
