--- a/crates/relay/src/chain.rs
+++ b/crates/relay/src/chain.rs
@@ -1,50 +1,50 @@
-//! The chain of relays between an answer and the event bus, which travels in the `Feed-Via` header.
+//! The chain of relays from an answering relay to the event bus, as sent in the `Feed-Via` header.
 //!
-//! A relay puts its own name before the chain of its upstream. Where a relay finds its own name in an answer's chain,
-//! relays follow each other in a loop, and the answer proves nothing.
+//! A relay prepends its own name to the chain of its upstream. A relay that finds its own name in an answer's chain has
+//! detected a loop of relays; such an answer is no proof of freshness.
 
 use std::fmt;
 use thiserror::Error;
 
-/// The header with the chain: names from the answering relay on, separated by commas.
+/// The name of the header with the chain: relay names separated by commas, the answering relay first.
 pub const FEED_VIA: &str = "feed-via";
-/// The longest chain that is accepted.
+/// The maximum number of relays in an accepted chain.
 pub const MAX_CHAIN_LENGTH: usize = 16;
 
-/// Names of relays, the answering one first and the one nearest to the bus last.
+/// Names of relays, from the answering relay to the one nearest to the event bus.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Chain {
     relays: Vec<String>,
 }
 
-/// Why an answer's chain is refused.
+/// An error in the relay chain of an answer.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ChainError {
     /// The relay itself is part of the chain.
-    #[error("relays follow each other in a loop: {0}")]
+    #[error("the relays form a loop: {0}")]
     Loop(Chain),
-    /// The chain has over [`MAX_CHAIN_LENGTH`] relays.
-    #[error("over {MAX_CHAIN_LENGTH} relays lie between this one and the bus")]
+    /// With this relay, the chain has more than [`MAX_CHAIN_LENGTH`] relays.
+    #[error("the chain to the event bus has more than {MAX_CHAIN_LENGTH} relays")]
     TooLong,
 }
 
 impl Chain {
-    /// The chain of a relay that follows the bus itself, or nothing yet.
-    pub fn of(name: &str) -> Chain {
+    /// The chain of a single relay, which polls the event bus or has no upstream yet.
+    pub fn single(name: &str) -> Chain {
         Chain { relays: vec![name.to_string()] }
     }
 
-    /// Reads a header. A plain bus sends none.
+    /// Parses the value of the header. The event bus itself sends no such header.
     pub fn parse(header: Option<&str>) -> Chain {
         let names = header.unwrap_or_default().split(',').map(str::trim).filter(|name| !name.is_empty());
         Chain { relays: names.map(str::to_string).collect() }
     }
 
-    /// The chain of a relay whose upstream answered with this one.
+    /// The chain of a relay whose upstream answered with this chain.
     ///
     /// # Errors
-    /// [`ChainError`] if the relay is part of it already, or if it is too long.
-    pub fn followed_by(&self, name: &str) -> Result<Chain, ChainError> {
+    /// [`ChainError`] if the relay is part of the chain already, or if the chain is too long.
+    pub fn prepended_with(&self, name: &str) -> Result<Chain, ChainError> {
         if self.relays.iter().any(|relay| relay == name) {
             return Err(ChainError::Loop(self.clone()));
         }
@@ -55,7 +55,7 @@
         Ok(Chain { relays })
     }
 
-    /// The relays' names, the answering one first.
+    /// The relays' names, the answering relay first.
     pub fn relays(&self) -> &[String] {
         &self.relays
     }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,14 +1,15 @@
 //! A relay of the event feed.
 //!
-//! It follows the event bus, or another relay, by one long poll and answers the long polls of thousands of gateways.
-//! Its decisions are made by [`sagearch_feed::relay`]; here are its sockets, its clock and its process:
+//! A relay subscribes to the event bus, or to another relay, with one long poll and answers the long polls of thousands
+//! of gateways. The state machine is [`sagearch_feed::relay`]; this crate provides its sockets, clock and process:
 //!
-//! - [`upstream`]: the poll of the bus or of another relay; [`chain`] finds relays that follow each other in a loop
-//! - [`listener`], [`admission`], [`routes`]: connections, their admission, and the HTTP calls
-//! - [`state`]: the decisions behind a lock, and the pending polls; [`ticker`] answers them when they are due
-//! - [`peers`]: reports from other relays
-//! - [`status`], [`metrics`], [`process`]: what operators see
-//! - [`running`] puts them together
+//! - [`upstream`]: polls of the event bus or of another relay; [`chain`] detects loops between relays
+//! - [`listener`], [`admission`], [`routes`]: connections, admission control and the HTTP handlers
+//! - [`state`]: the state machine behind a lock, and the pending polls; [`ticker`] answers them when they are due
+//! - [`client`]: the HTTP client for upstreams and peer relays
+//! - [`peers`]: fetches the reports of peer relays
+//! - [`status`], [`metrics`], [`process`]: status, metrics and resource usage for operators
+//! - [`running`]: starts and stops all of these
 
 #![warn(missing_docs)]
 
--- a/crates/relay/src/main.rs
+++ b/crates/relay/src/main.rs
@@ -1,4 +1,4 @@
-//! `sagearch-relay`: a relay of the event feed.
+//! The program `sagearch-relay`: serves a relay of the event feed, or checks its configuration file.
 
 use clap::{Parser, Subcommand};
 use sagearch_operators::relay::{RelayFile, relay};
@@ -10,21 +10,22 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 /// The exit code after an error.
-const FAILURE: u8 = 2;
+const FAILURE_EXIT_CODE: u8 = 2;
 
-/// Why the program fails.
+/// An error that ends the program.
 #[derive(Debug, Error)]
 enum ProgramError {
-    /// The relay's file has faults.
+    /// The relay's configuration file can't be read or is invalid.
     #[error(transparent)]
     File(#[from] Diagnostics),
     /// The runtime can't start, or signals can't be received.
     #[error(transparent)]
     Runtime(#[from] std::io::Error),
+    /// The relay can't start.
     #[error(transparent)]
     Start(#[from] StartError),
-    /// A task has ended, which happens by a defect only.
-    #[error("a task of the relay has ended by a defect")]
+    /// A background task has ended while the relay was running, which only a panic causes.
+    #[error("a background task of the relay ended unexpectedly")]
     TaskEnded,
 }
 
@@ -47,18 +48,18 @@
     Check { file: PathBuf },
 }
 
-/// The file system, from the working folder on.
-struct Disk;
+/// Files on disk, with paths relative to the working directory.
+struct DiskFiles;
 
-impl Files for Disk {
+impl Files for DiskFiles {
     fn read(&self, name: &str) -> Result<String, FileError> {
-        let limit = sagearch_operators::files::MAX_BYTES as u64;
-        Ok(sagearch_folder::read_text(Path::new(name), limit)?)
+        let max_bytes = sagearch_operators::files::MAX_BYTES as u64;
+        Ok(sagearch_folder::read_text(Path::new(name), max_bytes)?)
     }
 }
 
-fn read(file: &Path) -> Result<RelayFile, ProgramError> {
-    Ok(relay(&file.to_string_lossy(), &Disk)?)
+fn read_relay_file(file: &Path) -> Result<RelayFile, ProgramError> {
+    Ok(relay(&file.to_string_lossy(), &DiskFiles)?)
 }
 
 fn serve(file: &RelayFile) -> Result<(), ProgramError> {
@@ -71,27 +72,27 @@
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let mut relay = RunningRelay::start(file)?;
-    let end = tokio::select! {
+    let result = tokio::select! {
         _ = terminate.recv() => Ok(()),
         _ = interrupt.recv() => Ok(()),
-        () = relay.broken() => Err(ProgramError::TaskEnded),
+        () = relay.task_ended() => Err(ProgramError::TaskEnded),
     };
     relay.stop().await;
-    end
+    result
 }
 
-fn start_log(json: bool) {
-    let lines = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false);
-    if json { lines.json().init() } else { lines.init() }
+fn init_logging(json: bool) {
+    let subscriber = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false);
+    if json { subscriber.json().init() } else { subscriber.init() }
 }
 
 fn run(command: Command) -> Result<(), ProgramError> {
     match command {
         Command::Serve { file, log_json } => {
-            start_log(log_json);
-            serve(&read(&file)?)
+            init_logging(log_json);
+            serve(&read_relay_file(&file)?)
         }
-        Command::Check { file } => read(&file).map(drop),
+        Command::Check { file } => read_relay_file(&file).map(drop),
     }
 }
 
@@ -100,7 +101,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{error}");
-            ExitCode::from(FAILURE)
+            ExitCode::from(FAILURE_EXIT_CODE)
         }
     }
 }
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of `GET /metrics`, as `OpenMetrics` text.
+//! The metrics of `GET /metrics`, in the `OpenMetrics` text format.
 
 use crate::status::RelayStatus;
 use prometheus_client::encoding::text::encode;
@@ -7,14 +7,14 @@
 use prometheus_client::registry::Registry;
 use std::fmt;
 
-/// The type of the text.
+/// The content type of the `OpenMetrics` text format.
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// The text for a status.
+/// Encodes a relay's status as `OpenMetrics` text.
 ///
 /// # Errors
-/// That of the encoder; writing to a string does not fail.
-pub fn text(status: &RelayStatus) -> Result<String, fmt::Error> {
+/// An error of the encoder; writing to a string does not fail.
+pub fn encode_status(status: &RelayStatus) -> Result<String, fmt::Error> {
     let mut registry = Registry::with_prefix("sagearch_relay");
     register_gauges(&mut registry, status);
     register_counters(&mut registry, status);
@@ -68,6 +68,6 @@
     counter("loops_refused", "Answers refused as relays follow each other", counters.loops_refused);
     counter("reports_heard", "Reports of peers", counters.reports_heard);
     counter("report_failures", "Reports of peers that did not come", counters.report_failures);
-    let processor = ConstCounter::new(status.process.processor_seconds);
-    registry.register("processor_seconds", "Processor time of the process", processor);
+    let processor_seconds = ConstCounter::new(status.process.processor_seconds);
+    registry.register("processor_seconds", "Processor time of the process", processor_seconds);
 }
--- a/crates/relay/src/process.rs
+++ b/crates/relay/src/process.rs
@@ -1,21 +1,21 @@
-//! What the relay's own process uses, from `/proc/self`.
+//! The resource usage of the relay's process, from `/proc/self`.
 
 use procfs::process::Process;
 use serde::Serialize;
 
-/// Processor time and memory of this process.
+/// Processor time, memory and file descriptors of this process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct ProcessUsage {
     /// Processor time in user and kernel mode since the start.
     pub processor_seconds: f64,
-    /// Resident memory.
+    /// The size of resident memory.
     pub resident_bytes: u64,
-    /// Open descriptors.
+    /// The number of open file descriptors.
     pub descriptors: u64,
 }
 
 impl ProcessUsage {
-    /// Reads it; zeros where `/proc` can't be read.
+    /// Reads the usage now; all values are zero if `/proc` can't be read.
     pub fn read() -> ProcessUsage {
         ProcessUsage::try_read().unwrap_or_default()
     }
--- a/crates/relay/src/routes.rs
+++ b/crates/relay/src/routes.rs
@@ -1,9 +1,9 @@
-//! The HTTP calls: polls, reports, status, wait, forget and metrics.
+//! The HTTP router and its handlers: polls, reports, status, wait, forget and metrics.
 
 use crate::admission::Admission;
 use crate::chain::FEED_VIA;
 use crate::metrics;
-use crate::state::{PollOutcome, State, count};
+use crate::state::{PollOutcome, State, increment};
 use crate::status::RelayStatus;
 use axum::extract::{Extension, Query, RawQuery, State as Shared};
 use axum::http::header::{CONNECTION, CONTENT_TYPE, RETRY_AFTER};
@@ -24,42 +24,42 @@
 
 const RETRY_AFTER_MS: HeaderName = HeaderName::from_static("retry-after-ms");
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
-/// How many calls to `/feed/wait` are open at once.
-const MAX_WAIT_CALLS: usize = 16;
-/// How long one may wait.
+/// The maximum number of concurrent calls to `/feed/wait`.
+const MAX_CONCURRENT_WAITS: usize = 16;
+/// The longest `within_ms` of a call to `/feed/wait`.
 const MAX_WAIT: Duration = Duration::from_mins(1);
-/// How often one checks for completion.
+/// The interval at which a call to `/feed/wait` checks whether its event is complete.
 const WAIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The client of a connection.
+/// The client at the other end of a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Caller {
-    /// Its address.
+    /// The client's IP address.
     pub address: IpAddr,
 }
 
-/// What the handlers share.
+/// State that is shared by all handlers.
 #[derive(Clone)]
 pub struct Context {
     state: Arc<State>,
-    waiters: Arc<Semaphore>,
+    wait_permits: Arc<Semaphore>,
     admission: Arc<Admission>,
 }
 
-/// The calls of a relay.
+/// Builds the router for a relay's HTTP calls.
 pub fn router(state: Arc<State>, admission: Arc<Admission>) -> Router {
-    let context = Context { state, waiters: Arc::new(Semaphore::new(MAX_WAIT_CALLS)), admission };
+    let context = Context { state, wait_permits: Arc::new(Semaphore::new(MAX_CONCURRENT_WAITS)), admission };
     Router::new()
-        .route("/bus/read", get(read))
+        .route("/bus/read", get(poll_events))
         .route("/feed/report", get(report))
         .route("/feed/status", get(status))
         .route("/feed/wait", get(wait))
         .route("/feed/forget", post(forget))
-        .route("/metrics", get(metrics_text))
+        .route("/metrics", get(openmetrics))
         .with_state(context)
 }
 
-async fn read(
+async fn poll_events(
     Shared(context): Shared<Context>,
     Extension(caller): Extension<Caller>,
     RawQuery(query): RawQuery,
@@ -67,42 +67,42 @@
     let state = &context.state;
     let poll = match Poll::parse(query.as_deref().unwrap_or_default()) {
         Ok(poll) => poll,
-        Err(error) => return invalid_poll(state, &error),
+        Err(error) => return invalid_poll_response(state, &error),
     };
     match state.poll(caller.address, poll).await {
-        PollOutcome::Answered(body) => answer(state, body),
+        PollOutcome::Answered(body) => answer_response(state, body),
         PollOutcome::Busy { retry_after_ms } => {
-            count(&state.counters.busy, 1);
-            busy(retry_after_ms)
+            increment(&state.counters.busy, 1);
+            busy_response(retry_after_ms)
         }
-        PollOutcome::Invalid(error) => invalid_poll(state, &error),
-        PollOutcome::Stopping => stopping(),
+        PollOutcome::Invalid(error) => invalid_poll_response(state, &error),
+        PollOutcome::ShuttingDown => shutting_down_response(),
     }
 }
 
-fn invalid_poll(state: &State, error: &dyn std::error::Error) -> Response {
-    count(&state.counters.bad, 1);
+fn invalid_poll_response(state: &State, error: &dyn std::error::Error) -> Response {
+    increment(&state.counters.bad, 1);
     bad_request(&error.to_string())
 }
 
-fn answer(state: &State, body: SharedBody) -> Response {
-    count(&state.counters.answers, 1);
-    count(&state.counters.answer_bytes, body.len() as u64);
+fn answer_response(state: &State, body: SharedBody) -> Response {
+    increment(&state.counters.answers, 1);
+    increment(&state.counters.answer_bytes, body.len() as u64);
     let mut headers = HeaderMap::with_capacity(2);
     headers.insert(CONTENT_TYPE, JSON);
     headers.insert(FEED_VIA, state.chain_header());
     (headers, Body::from(Bytes::from_owner(body))).into_response()
 }
 
-fn busy(retry_after_ms: u64) -> Response {
+fn busy_response(retry_after_ms: u64) -> Response {
     let mut headers = HeaderMap::with_capacity(2);
     headers.insert(RETRY_AFTER, retry_after_ms.div_ceil(1_000).into());
     headers.insert(RETRY_AFTER_MS, retry_after_ms.into());
     (StatusCode::SERVICE_UNAVAILABLE, headers, "busy\n").into_response()
 }
 
-fn stopping() -> Response {
-    let mut response = busy(0);
+fn shutting_down_response() -> Response {
+    let mut response = busy_response(0);
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     response
 }
@@ -113,7 +113,7 @@
 
 async fn report(Shared(context): Shared<Context>) -> Response {
     let state = &context.state;
-    let report = state.decisions().relay.report(state.clock.now());
+    let report = state.lock().relay.report(state.clock.now());
     Json(report).into_response()
 }
 
@@ -126,10 +126,10 @@
     Json(context.relay_status(query.offset)).into_response()
 }
 
-async fn metrics_text(Shared(context): Shared<Context>) -> Response {
-    match metrics::text(&context.relay_status(None)) {
+async fn openmetrics(Shared(context): Shared<Context>) -> Response {
+    match metrics::encode_status(&context.relay_status(None)) {
         Ok(text) => ([(CONTENT_TYPE, metrics::CONTENT_TYPE)], text).into_response(),
-        Err(e) => (StatusCode::INTERNAL_SERVER_ERROR, e.to_string()).into_response(),
+        Err(error) => (StatusCode::INTERNAL_SERVER_ERROR, error.to_string()).into_response(),
     }
 }
 
@@ -145,13 +145,13 @@
     within_ms: u64,
 }
 
-/// Whether an event is complete.
+/// The answer to `/feed/wait`: whether the event at an offset is complete.
 #[derive(Serialize)]
 struct WaitAnswer {
     done: bool,
     offset: u64,
     by: Option<CompletionReason>,
-    /// From when the relay learned the offset to when it was seen to be done.
+    /// The time from when the relay received the event until it was found complete.
     took_ms: Option<u64>,
     watermark: u64,
 }
@@ -161,9 +161,10 @@
     if within > MAX_WAIT {
         return bad_request(&format!("within_ms is over {}", MAX_WAIT.as_millis()));
     }
-    let Ok(_place) = context.waiters.try_acquire() else { return busy(1_000) };
-    let until = Instant::now() + within;
-    while !context.is_complete(query.offset) && Instant::now() < until && !context.state.stopping() {
+    let Ok(_permit) = context.wait_permits.try_acquire() else { return busy_response(1_000) };
+    let deadline = Instant::now() + within;
+    while !context.is_complete(query.offset) && Instant::now() < deadline && !context.state.is_shutting_down()
+    {
         tokio::time::sleep(WAIT_POLL_INTERVAL).await;
     }
     Json(context.wait_answer(query.offset)).into_response()
@@ -171,19 +172,19 @@
 
 impl Context {
     fn is_complete(&self, offset: u64) -> bool {
-        self.state.decisions().relay.completion(self.state.clock.now(), offset).is_some()
+        self.state.lock().relay.completion(self.state.clock.now(), offset).is_some()
     }
 
     fn wait_answer(&self, offset: u64) -> WaitAnswer {
-        let decisions = self.state.decisions();
+        let locked = self.state.lock();
         let now = self.state.clock.now();
-        let done = decisions.relay.completion(now, offset);
+        let completion = locked.relay.completion(now, offset);
         WaitAnswer {
-            done: done.is_some(),
+            done: completion.is_some(),
             offset,
-            by: done.map(|done| done.reason),
-            took_ms: done.map(|done| done.elapsed_ms),
-            watermark: decisions.relay.status(now).watermark,
+            by: completion.map(|completion| completion.reason),
+            took_ms: completion.map(|completion| completion.elapsed_ms),
+            watermark: locked.relay.status(now).watermark,
         }
     }
 }
@@ -200,7 +201,7 @@
 }
 
 async fn forget(Shared(context): Shared<Context>, Query(query): Query<ForgetQuery>) -> Response {
-    let forgotten = context.state.decisions().relay.forget(&query.name);
+    let forgotten = context.state.lock().relay.forget(&query.name);
     tracing::info!(subscriber = query.name, forgotten, "a subscriber is to be forgotten");
     Json(ForgetAnswer { name: query.name, forgotten }).into_response()
 }
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/state.rs
@@ -1,4 +1,4 @@
-//! The relay's decisions behind a lock, and the tasks that wait for them.
+//! The relay's state machine behind a lock, and the pending polls.
 
 use crate::chain::Chain;
 use crate::clock::Clock;
@@ -12,214 +12,216 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock};
 use tokio::sync::{Notify, oneshot};
 
-/// How a poll ends.
+/// The outcome of a poll.
 #[derive(Debug, PartialEq, Eq)]
 pub enum PollOutcome {
-    /// With this body.
+    /// The poll is answered with this body.
     Answered(SharedBody),
-    /// It is not admitted.
+    /// The poll is not admitted.
     Busy {
-        /// After how many milliseconds the subscriber is to come back.
+        /// The time after which the subscriber may retry.
         retry_after_ms: u64,
     },
-    /// The poll can't be answered.
+    /// The poll is invalid.
     Invalid(InvalidPoll),
-    /// The relay shuts down: the subscriber is to poll another one.
-    Stopping,
+    /// The relay is shutting down; the subscriber should poll another relay.
+    ShuttingDown,
 }
 
-/// Counters of this process, beside those of the decisions.
+/// Counters of the process, in addition to those of the state machine.
 #[derive(Debug, Default)]
 pub struct Counters {
     /// Polls answered 200.
     pub answers: AtomicU64,
-    /// Bytes of their bodies.
+    /// Total size of the bodies of polls answered 200.
     pub answer_bytes: AtomicU64,
-    /// Bodies encoded for pending polls, each shared by all polls with the same answer.
+    /// Bodies encoded for pending polls; polls with the same answer share one.
     pub bodies: AtomicU64,
     /// Polls answered 503.
     pub busy: AtomicU64,
     /// Polls answered 400.
     pub bad: AtomicU64,
-    /// Polls of upstreams that brought no usable answer.
+    /// Polls of upstreams that failed or had an invalid answer.
     pub upstream_failures: AtomicU64,
-    /// Answers refused as relays follow each other in a loop.
+    /// Answers of upstreams that were refused because of a loop of relays.
     pub loops_refused: AtomicU64,
-    /// Reports of peers that were applied.
+    /// Reports of peer relays that were applied.
     pub reports_heard: AtomicU64,
-    /// Reports of peers that did not come.
+    /// Failed attempts to fetch the report of a peer relay.
     pub report_failures: AtomicU64,
 }
 
-/// Adds to a counter; counters need no order among each other.
-pub fn count(counter: &AtomicU64, by: u64) {
-    counter.fetch_add(by, Ordering::Relaxed);
+/// Adds to a counter. The ordering is relaxed because no other memory access depends on a counter.
+pub fn increment(counter: &AtomicU64, amount: u64) {
+    counter.fetch_add(amount, Ordering::Relaxed);
 }
 
-/// The decisions, and the tasks that wait for them.
-pub struct Decisions {
-    /// What the relay decides.
+/// The part of the state that is protected by the lock.
+pub struct LockedState {
+    /// The relay's state machine.
     pub relay: Relay,
-    /// The chain of relays from this one to the bus, and the upstream that it comes from.
+    /// The chain of relays from this one to the event bus, by the last applied answer.
     pub chain: Chain,
-    /// That upstream; `None` before the first answer.
+    /// The upstream of the last applied answer; `None` before the first one.
     pub upstream: Option<SocketAddr>,
     pending_polls: HashMap<Session, oneshot::Sender<PollOutcome>>,
     next_session: u64,
-    /// When the ticker wakes next; `None` if nothing is due.
-    ticker_at: Option<Micros>,
-    stopping: bool,
+    /// The time of the ticker's next wakeup; `None` if none is scheduled.
+    next_wakeup: Option<Micros>,
+    shutting_down: bool,
 }
 
-/// State that all tasks of a relay share.
+/// State that is shared by all tasks of a relay.
 pub struct State {
-    /// The clock of all decisions.
+    /// The clock of all deadlines and leases.
     pub clock: Clock,
     /// The relay's name.
     pub name: String,
-    /// How long a freshness lease lasts.
+    /// The duration of a freshness lease.
     pub lease: Micros,
-    /// Counters of this process.
+    /// Counters of the process.
     pub counters: Counters,
-    decisions: Mutex<Decisions>,
+    locked: Mutex<LockedState>,
     chain_header: RwLock<HeaderValue>,
-    /// Wakes the ticker where something is due before `ticker_at`.
-    pub wake_ticker_early: Notify,
+    /// Wakes the ticker before its scheduled time.
+    pub ticker_wakeup: Notify,
 }
 
 impl State {
-    /// The state of a relay that starts now.
+    /// The initial state of a relay.
     pub fn new(name: &str, lease: Micros, relay: Relay, clock: Clock) -> State {
-        let chain = Chain::of(name);
+        let chain = Chain::single(name);
         let chain_header = HeaderValue::try_from(chain.to_string()).unwrap_or(HeaderValue::from_static(""));
-        let decisions = Decisions {
+        let locked = LockedState {
             relay,
             chain,
             upstream: None,
             pending_polls: HashMap::new(),
             next_session: 1,
-            ticker_at: None,
-            stopping: false,
+            next_wakeup: None,
+            shutting_down: false,
         };
         State {
             clock,
             name: name.to_string(),
             lease,
             counters: Counters::default(),
-            decisions: Mutex::new(decisions),
+            locked: Mutex::new(locked),
             chain_header: RwLock::new(chain_header),
-            wake_ticker_early: Notify::new(),
+            ticker_wakeup: Notify::new(),
         }
     }
 
-    /// The decisions, for a short while: nothing waits under this lock.
-    pub fn decisions(&self) -> MutexGuard<'_, Decisions> {
-        self.decisions.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Locks the state. The lock is held for short, non-blocking operations only, never across an `await`.
+    pub fn lock(&self) -> MutexGuard<'_, LockedState> {
+        self.locked.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Answers a poll, at once or when it is due. Dropping the future ends its session.
+    /// Answers a poll, at once or when it is due. Dropping the future closes its session.
     pub async fn poll(self: &Arc<Self>, address: IpAddr, poll: Poll) -> PollOutcome {
-        let (pending, receiver) = match self.begin(address, &poll) {
-            StartedPoll::Ended(end) => return end,
+        let (pending, receiver) = match self.start_poll(address, &poll) {
+            StartedPoll::Completed(outcome) => return outcome,
             StartedPoll::Pending(pending, receiver) => (pending, receiver),
         };
-        let end = receiver.await.unwrap_or(PollOutcome::Stopping);
+        let outcome = receiver.await.unwrap_or(PollOutcome::ShuttingDown);
         drop(pending);
-        end
+        outcome
     }
 
-    fn begin(self: &Arc<Self>, address: IpAddr, poll: &Poll) -> StartedPoll {
-        let mut decisions = self.decisions();
-        if decisions.stopping {
-            return StartedPoll::Ended(PollOutcome::Stopping);
+    fn start_poll(self: &Arc<Self>, address: IpAddr, poll: &Poll) -> StartedPoll {
+        let mut locked = self.lock();
+        if locked.shutting_down {
+            return StartedPoll::Completed(PollOutcome::ShuttingDown);
         }
-        let session = Session(decisions.next_session);
-        decisions.next_session += 1;
+        let session = Session(locked.next_session);
+        locked.next_session += 1;
         let now = self.clock.now();
-        let reply = decisions.relay.handle_poll(now, session, address, poll);
-        let end = match reply {
+        let reply = locked.relay.handle_poll(now, session, address, poll);
+        let outcome = match reply {
             PollReply::Pending => {
                 let (sender, receiver) = oneshot::channel();
-                decisions.pending_polls.insert(session, sender);
-                self.wake_ticker(&decisions);
+                locked.pending_polls.insert(session, sender);
+                self.wake_ticker(&locked);
                 return StartedPoll::Pending(PendingPoll { state: self.clone(), session }, receiver);
             }
             PollReply::Answer(body) => PollOutcome::Answered(body),
             PollReply::Busy { retry_after_ms } => PollOutcome::Busy { retry_after_ms },
             PollReply::Invalid(cause) => PollOutcome::Invalid(cause),
         };
-        decisions.relay.session_closed(session);
-        StartedPoll::Ended(end)
+        locked.relay.session_closed(session);
+        StartedPoll::Completed(outcome)
     }
 
-    /// Answers the polls that are due, and returns when the next ones are; `None` if none will be by time alone.
+    /// Answers the polls that are due. Returns the time of the next tick, or `None` if no pending poll has a deadline.
     pub fn tick(&self) -> Option<Micros> {
-        let mut decisions = self.decisions();
+        let mut locked = self.lock();
         let now = self.clock.now();
-        let due = decisions.relay.tick(now);
-        count(&self.counters.bodies, distinct_bodies(&due));
+        let due = locked.relay.tick(now);
+        increment(&self.counters.bodies, distinct_bodies(&due));
         for DueAnswer { session, body } in due {
-            if let Some(sender) = decisions.pending_polls.remove(&session) {
-                // A poll that was dropped meanwhile has ended its session itself.
+            if let Some(sender) = locked.pending_polls.remove(&session) {
+                // A poll that was dropped meanwhile has closed its session itself.
                 let _ = sender.send(PollOutcome::Answered(body));
             }
         }
-        decisions.ticker_at = decisions.relay.next_tick();
-        decisions.ticker_at
+        locked.next_wakeup = locked.relay.next_tick();
+        locked.next_wakeup
     }
 
-    /// Wakes the ticker if a poll is due before its next tick. To be called after each change of the decisions.
-    pub fn wake_ticker(&self, decisions: &Decisions) {
-        let Some(next) = decisions.relay.next_tick() else { return };
-        if decisions.ticker_at.is_none_or(|at| next < at) {
-            self.wake_ticker_early.notify_one();
+    /// Wakes the ticker if a poll is due before its scheduled wakeup. Must be called after each change of the state
+    /// machine.
+    pub fn wake_ticker(&self, locked: &LockedState) {
+        let Some(next_tick) = locked.relay.next_tick() else { return };
+        if locked.next_wakeup.is_none_or(|wakeup| next_tick < wakeup) {
+            self.ticker_wakeup.notify_one();
         }
     }
 
-    /// Ends all pending polls, and each one that still comes.
-    pub fn stop(&self) {
-        let mut decisions = self.decisions();
-        decisions.stopping = true;
-        for (_, sender) in decisions.pending_polls.drain() {
-            let _ = sender.send(PollOutcome::Stopping);
+    /// Ends all pending polls, and every later poll at once.
+    pub fn shut_down(&self) {
+        let mut locked = self.lock();
+        locked.shutting_down = true;
+        for (_, sender) in locked.pending_polls.drain() {
+            let _ = sender.send(PollOutcome::ShuttingDown);
         }
     }
 
-    /// Whether the relay stops.
-    pub fn stopping(&self) -> bool {
-        self.decisions().stopping
+    /// Whether the relay is shutting down.
+    pub fn is_shutting_down(&self) -> bool {
+        self.lock().shutting_down
     }
 
-    /// The chain of relays from this one to the bus, for the header of an answer.
+    /// The value of an answer's `Feed-Via` header: the chain of relays from this one to the event bus.
     pub fn chain_header(&self) -> HeaderValue {
         self.chain_header.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// An answer of an upstream with this chain has been applied.
-    pub fn set_upstream(&self, decisions: &mut Decisions, upstream: SocketAddr, chain: Chain) {
-        decisions.upstream = Some(upstream);
-        if decisions.chain == chain {
+    /// Records the upstream and the relay chain of an answer that has been applied.
+    pub fn set_upstream(&self, locked: &mut LockedState, upstream: SocketAddr, chain: Chain) {
+        locked.upstream = Some(upstream);
+        if locked.chain == chain {
             return;
         }
         if let Ok(header) = HeaderValue::try_from(chain.to_string()) {
             *self.chain_header.write().unwrap_or_else(PoisonError::into_inner) = header;
         }
-        decisions.chain = chain;
+        locked.chain = chain;
     }
 }
 
-/// How many different bodies there are among polls that are answered together.
+/// The number of distinct bodies among answers that are due at the same time.
 fn distinct_bodies(due: &[DueAnswer]) -> u64 {
-    let bodies: HashSet<*const u8> = due.iter().map(|due| due.body.as_ptr()).collect();
+    let bodies: HashSet<*const u8> = due.iter().map(|answer| answer.body.as_ptr()).collect();
     bodies.len() as u64
 }
 
+/// A poll after its start.
 enum StartedPoll {
-    Ended(PollOutcome),
+    Completed(PollOutcome),
     Pending(PendingPoll, oneshot::Receiver<PollOutcome>),
 }
 
-/// The session of a pending poll, ended when this is dropped.
+/// The session of a pending poll, which is closed when this guard is dropped.
 struct PendingPoll {
     state: Arc<State>,
     session: Session,
@@ -227,8 +229,8 @@
 
 impl Drop for PendingPoll {
     fn drop(&mut self) {
-        let mut decisions = self.state.decisions();
-        decisions.pending_polls.remove(&self.session);
-        decisions.relay.session_closed(self.session);
+        let mut locked = self.state.lock();
+        locked.pending_polls.remove(&self.session);
+        locked.relay.session_closed(self.session);
     }
 }
--- a/crates/relay/src/status.rs
+++ b/crates/relay/src/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of a relay: its decisions' status, its counters and its process.
+//! The status of a relay for operators: the event feed, connections, counters and the process.
 
 use crate::admission::Admission;
 use crate::process::ProcessUsage;
@@ -12,24 +12,24 @@
 /// The answer to `/feed/status`.
 #[derive(Debug, Serialize)]
 pub struct RelayStatus {
-    /// The status of the decisions.
+    /// The status of the event feed.
     #[serde(flatten)]
     pub feed: Status,
-    /// The address that is polled.
+    /// The address of the upstream of the last applied answer; `None` before the first one.
     pub upstream: Option<SocketAddr>,
-    /// The relays from this one to the bus.
+    /// The names of the relays from this one to the event bus.
     pub chain: Vec<String>,
-    /// Connections that are served.
+    /// The number of connections that are served.
     pub connections: usize,
-    /// Subscribers of this relay whose freshness lease has expired, as far as this relay knows.
+    /// The number of this relay's subscribers whose freshness lease has expired, as far as this relay knows.
     #[serde(rename = "in_doubt")]
     pub expired_leases: usize,
-    /// Subscribers that have not acknowledged the offset asked for, as far as `lagging` names them.
+    /// The names of the subscribers in `lagging` that have not acknowledged the requested offset.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub behind: Option<Vec<String>>,
     /// Counters since the start.
     pub counters: CounterValues,
-    /// The process's resources.
+    /// The resource usage of the process.
     pub process: ProcessUsage,
 }
 
@@ -38,9 +38,9 @@
 pub struct CounterValues {
     /// Polls answered 200.
     pub answers: u64,
-    /// Bytes of their bodies.
+    /// Total size of the bodies of polls answered 200.
     pub answer_bytes: u64,
-    /// Bodies encoded for pending polls, each shared by all polls with the same answer.
+    /// Bodies encoded for pending polls; polls with the same answer share one.
     pub bodies: u64,
     /// Polls answered 503.
     pub busy: u64,
@@ -48,13 +48,13 @@
     pub refused_connections: u64,
     /// Polls answered 400.
     pub bad: u64,
-    /// Polls of upstreams that brought no usable answer.
+    /// Polls of upstreams that failed or had an invalid answer.
     pub upstream_failures: u64,
-    /// Answers refused as relays follow each other in a loop.
+    /// Answers of upstreams that were refused because of a loop of relays.
     pub loops_refused: u64,
-    /// Reports of peers that were applied.
+    /// Reports of peer relays that were applied.
     pub reports_heard: u64,
-    /// Reports of peers that did not come.
+    /// Failed attempts to fetch the report of a peer relay.
     pub report_failures: u64,
 }
 
@@ -77,14 +77,14 @@
 }
 
 impl RelayStatus {
-    /// The status now; with `offset`, also who has not acknowledged it.
+    /// Reads the status now; with `offset`, it includes the subscribers that have not acknowledged that offset.
     pub fn read(state: &State, admission: &Admission, offset: Option<u64>) -> RelayStatus {
-        let decisions = state.decisions();
+        let locked = state.lock();
         let now = state.clock.now();
-        let feed = decisions.relay.status(now);
-        let expired_leases = count_expired_leases(&decisions.relay.report(now), state.lease);
-        let (upstream, chain) = (decisions.upstream, decisions.chain.relays().to_vec());
-        drop(decisions);
+        let feed = locked.relay.status(now);
+        let expired_leases = count_expired_leases(&locked.relay.report(now), state.lease);
+        let (upstream, chain) = (locked.upstream, locked.chain.relays().to_vec());
+        drop(locked);
         let behind = offset.map(|offset| {
             let behind = feed.lagging.iter().filter(|subscriber| subscriber.offset < offset);
             behind.map(|subscriber| subscriber.name.clone()).collect()
@@ -102,7 +102,8 @@
     }
 }
 
-/// A subscriber's lease has expired when it has been silent for longer; all have when the relay itself is not current.
+/// Counts the subscribers that have been silent for the duration of their lease. If the relay's own lease has expired,
+/// all its subscribers count.
 fn count_expired_leases(report: &Report, lease: Micros) -> usize {
     let expired = |millis: u64| millis.saturating_mul(sagearch_feed::MILLISECOND) >= lease;
     if report.age_ms.is_none_or(expired) {
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -1,8 +1,8 @@
-//! Follows the event bus or another relay by one long poll.
+//! Subscribes to the event bus or to another relay with one long poll at a time.
 
 use crate::chain::{Chain, ChainError};
-use crate::client::{Answered, CallError, HttpClient};
-use crate::state::{State, count};
+use crate::client::{CallError, HttpAnswer, HttpClient};
+use crate::state::{State, increment};
 use http::StatusCode;
 use sagearch_feed::Micros;
 use sagearch_feed::message::{Answer, Poll};
@@ -15,14 +15,14 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why a poll brought nothing.
+/// An error of a poll of an upstream.
 #[derive(Debug, Error)]
 enum PollError {
-    #[error("no answer in time")]
+    #[error("the poll timed out")]
     TimedOut,
     #[error(transparent)]
     Call(#[from] CallError),
-    #[error("the answer can't be used: {0}")]
+    #[error("the answer is invalid: {0}")]
     InvalidAnswer(#[from] InvalidAnswer),
     #[error(transparent)]
     Chain(#[from] ChainError),
@@ -30,7 +30,7 @@
     Rejected(#[from] RejectedAnswer),
 }
 
-/// Why an answer that came in time can't be used.
+/// An error in the content of a complete answer.
 #[derive(Debug, Error)]
 enum InvalidAnswer {
     #[error(transparent)]
@@ -46,35 +46,36 @@
             PollError::Call(CallError::Unreachable(_) | CallError::InvalidRequest(_)) => {
                 PollFailure::Unreachable
             }
-            PollError::Call(CallError::Lost(_)) => PollFailure::ConnectionLost,
-            PollError::Call(CallError::Refused { status: StatusCode::SERVICE_UNAVAILABLE, retry_after }) => {
-                PollFailure::Refused { retry_after: *retry_after }
-            }
+            PollError::Call(CallError::ConnectionLost(_)) => PollFailure::ConnectionLost,
+            PollError::Call(CallError::UnexpectedStatus {
+                status: StatusCode::SERVICE_UNAVAILABLE,
+                retry_after,
+            }) => PollFailure::Refused { retry_after: *retry_after },
             _ => PollFailure::InvalidAnswer,
         }
     }
 }
 
-/// A complete answer of an upstream.
+/// A decoded answer of an upstream, with the relay chain that includes this relay.
 struct UpstreamAnswer {
     answer: Answer,
     chain: Chain,
 }
 
-/// The relay as a subscriber of its upstreams.
+/// Polls the upstreams and applies their answers: the relay's own subscription.
 pub struct Follower {
-    /// The relay's state, to which answers are applied.
+    /// The relay's state, to which the answers are applied.
     pub state: Arc<State>,
-    /// Decides what is polled when.
+    /// The state machine of the subscription, which schedules the polls.
     pub subscription: Subscription,
-    /// The addresses of the subscription's relays, in its order.
+    /// The upstreams' addresses, in the order in which the subscription numbers its relays.
     pub upstreams: Vec<SocketAddr>,
-    /// The client for the polls.
+    /// The HTTP client for the polls.
     pub client: HttpClient,
 }
 
 impl Follower {
-    /// Polls for as long as the relay runs.
+    /// Polls the upstreams for as long as the relay runs.
     pub async fn run(mut self) {
         let mut logged_failures = LoggedFailures::default();
         loop {
@@ -89,24 +90,24 @@
         }
     }
 
-    /// One poll. The events of its answer are applied when this returns.
+    /// Polls an upstream once. On success, the events of the answer have been applied.
     async fn poll(&mut self, upstream: SocketAddr, poll: &Poll, timeout: Micros) -> Result<(), PollError> {
-        let sent = self.state.clock.now();
-        let accepted = match self.send_poll(upstream, poll, timeout).await {
-            Ok(answered) => self.apply_answer(upstream, sent, answered),
+        let sent_at = self.state.clock.now();
+        let result = match self.send_poll(upstream, poll, timeout).await {
+            Ok(answer) => self.apply_answer(upstream, sent_at, answer),
             Err(error) => {
                 self.subscription.poll_failed(self.state.clock.now(), error.failure());
                 Err(error)
             }
         };
-        if let Err(error) = &accepted {
+        if let Err(error) = &result {
             let counters = &self.state.counters;
-            count(&counters.upstream_failures, 1);
+            increment(&counters.upstream_failures, 1);
             if matches!(error, PollError::Chain(ChainError::Loop(_))) {
-                count(&counters.loops_refused, 1);
+                increment(&counters.loops_refused, 1);
             }
         }
-        accepted
+        result
     }
 
     async fn send_poll(
@@ -117,44 +118,44 @@
     ) -> Result<UpstreamAnswer, PollError> {
         let path = poll.path();
         let call = self.client.get(upstream, &path);
-        let Answered { body, chain } = tokio::time::timeout(Duration::from_micros(timeout), call)
+        let HttpAnswer { body, chain } = tokio::time::timeout(Duration::from_micros(timeout), call)
             .await
             .map_err(|_| PollError::TimedOut)??;
-        let chain = chain.followed_by(&self.state.name)?;
+        let chain = chain.prepended_with(&self.state.name)?;
         let answer = serde_json::from_slice(&body).map_err(InvalidAnswer::from)?;
         Ok(UpstreamAnswer { answer, chain })
     }
 
-    /// Applies an answer: from here on subscribers receive it, and the next poll acknowledges it.
+    /// Applies an answer: subscribers receive its events from now on, and the next poll acknowledges them.
     fn apply_answer(
         &mut self,
         upstream: SocketAddr,
-        sent: Micros,
-        answered: UpstreamAnswer,
+        sent_at: Micros,
+        upstream_answer: UpstreamAnswer,
     ) -> Result<(), PollError> {
-        let UpstreamAnswer { answer, chain } = answered;
-        let mut decisions = self.state.decisions();
+        let UpstreamAnswer { answer, chain } = upstream_answer;
+        let mut locked = self.state.lock();
         let now = self.state.clock.now();
-        let accepted = self.subscription.poll_answered(now, sent, &answer.head)?;
+        let accepted = self.subscription.poll_answered(now, sent_at, &answer.head)?;
         let as_of = match accepted {
             AcceptedAnswer::NoNewEvents => self.subscription.lease().as_of(),
             AcceptedAnswer::NewEvents { .. } | AcceptedAnswer::Snapshot => {
                 self.subscription.unapplied_as_of()
             }
         };
-        if let Err(rejected) = decisions.relay.apply_upstream_answer(now, as_of, accepted, &answer) {
-            let error = PollError::from(InvalidAnswer::from(rejected));
+        if let Err(not_applicable) = locked.relay.apply_upstream_answer(now, as_of, accepted, &answer) {
+            let error = PollError::from(InvalidAnswer::from(not_applicable));
             self.subscription.poll_failed(now, error.failure());
             return Err(error);
         }
         self.subscription.events_applied(now);
-        self.state.set_upstream(&mut decisions, upstream, chain);
-        self.state.wake_ticker(&decisions);
+        self.state.set_upstream(&mut locked, upstream, chain);
+        self.state.wake_ticker(&locked);
         Ok(())
     }
 }
 
-/// Failures that have been logged: each kind once for an upstream, until that one answers again.
+/// Failures that have been logged: each kind of error is logged once for an upstream until it answers again.
 #[derive(Default)]
 struct LoggedFailures {
     logged: HashSet<(SocketAddr, Discriminant<PollError>)>,
@@ -164,9 +165,9 @@
     fn log(&mut self, upstream: SocketAddr, result: &Result<(), PollError>) {
         match result {
             Ok(()) => {
-                let before = self.logged.len();
-                self.logged.retain(|(failing, _)| *failing != upstream);
-                if self.logged.len() < before {
+                let previous_count = self.logged.len();
+                self.logged.retain(|(failing_upstream, _)| *failing_upstream != upstream);
+                if self.logged.len() < previous_count {
                     tracing::info!(%upstream, "the upstream answers again");
                 }
             }
--- a/crates/relay/tests/events.rs
+++ b/crates/relay/tests/events.rs
@@ -140,7 +140,7 @@
     let relay = start(&file);
     let refused = gateway.ask(0).await;
     assert!(
-        matches!(refused, Err(CallError::Refused { status, retry_after: Some(_) }) if status == 503),
+        matches!(refused, Err(CallError::UnexpectedStatus { status, retry_after: Some(_) }) if status == 503),
         "a relay that knows nothing says so"
     );
     bus.mode(Mode::Answering);
