--- a/crates/relay/tests/events.rs
+++ b/crates/relay/tests/events.rs
@@ -1,4 +1,4 @@
-//! Events on their way through a relay: unchanged, in time, and whole for whoever comes late.
+//! Delivery of events through relays: unchanged content, batching delay, snapshots, restarts and loops.
 
 mod support;
 
@@ -6,11 +6,13 @@
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 use support::ports::unused_address;
-use support::{Bus, Mode, Subscriber, events, file_with, get_json, relay_file, start, until};
+use support::{
+    BusMode, FakeBus, Subscriber, events, get_json, relay_file, relay_file_with, start, wait_until,
+};
 
 #[tokio::test(flavor = "multi_thread")]
 async fn events_are_passed_on_unchanged_with_offsets_and_feed() {
-    let bus = Bus::start(Some("feed-a")).await;
+    let bus = FakeBus::start(Some("feed-a")).await;
     let relay = start(&relay_file("r1", &[bus.address], ""));
     let mut gateway = Subscriber::new(relay.address, "g1");
     gateway.catch_up(1).await;
@@ -27,7 +29,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn second_relay_passes_on_same_events_with_greater_age() {
-    let bus = Bus::start(Some("feed-a")).await;
+    let bus = FakeBus::start(Some("feed-a")).await;
     let near = start(&relay_file("near", &[bus.address], ""));
     let far = start(&relay_file("far", &[near.address], ""));
     let last = bus.purge(5);
@@ -44,66 +46,69 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn endpoint_list_is_not_delayed_behind_purges() {
-    let bus = Bus::start(Some("feed-a")).await;
+async fn topology_event_is_sent_without_batch_delay() {
+    let bus = FakeBus::start(Some("feed-a")).await;
     let relay = start(&relay_file("r1", &[bus.address], "batch=\"1s\""));
     let mut gateway = Subscriber::new(relay.address, "g1");
     gateway.catch_up(1).await;
-    let (answer, took) = held_poll(&mut gateway, || bus.purge(1)).await;
+    let (answer, elapsed) = pending_poll(&mut gateway, || bus.purge(1)).await;
     assert_eq!(events(&[answer]), bus.events_after(1));
-    assert!(took > Duration::from_millis(700), "the purge alone came after {took:?}: it was not held back");
+    assert!(
+        elapsed > Duration::from_millis(700),
+        "the purge arrived after {elapsed:?}, without the batch delay"
+    );
 
-    let both = || bus.purge(2).max(bus.drain("store-1"));
-    let (answer, took) = held_poll(&mut gateway, both).await;
+    let publish_both = || bus.purge(2).max(bus.drain("store-1"));
+    let (answer, elapsed) = pending_poll(&mut gateway, publish_both).await;
     assert_eq!(events(&[answer]), bus.events_after(2));
-    assert!(took < Duration::from_millis(600), "the list came after {took:?}");
+    assert!(elapsed < Duration::from_millis(600), "the topology arrived after {elapsed:?}");
 }
 
-/// Publishes while a poll is held. Returns its answer, and the time from the publication to it.
-async fn held_poll(gateway: &mut Subscriber, publish: impl FnOnce() -> u64) -> (Value, Duration) {
+/// Publishes while a poll is pending. Returns the poll's answer, and the time from the publication to the answer.
+async fn pending_poll(gateway: &mut Subscriber, publish: impl FnOnce() -> u64) -> (Value, Duration) {
     let relay = gateway.relay;
     let poll = gateway.poll(10_000);
     let publication = async {
-        until("a held poll", async || get_json(relay, "/feed/status").await["held_polls"] == 1).await;
+        wait_until("a pending poll", async || get_json(relay, "/feed/status").await["held_polls"] == 1).await;
         publish();
         Instant::now()
     };
-    let (answer, began) = tokio::join!(poll, publication);
-    (answer.unwrap(), began.elapsed())
+    let (answer, published_at) = tokio::join!(poll, publication);
+    (answer.unwrap(), published_at.elapsed())
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn many_purges_are_sent_in_few_answers() {
-    let bus = Bus::start(Some("feed-a")).await;
+    let bus = FakeBus::start(Some("feed-a")).await;
     let relay = start(&relay_file("r1", &[bus.address], ""));
     let mut gateway = Subscriber::new(relay.address, "g1");
     gateway.catch_up(1).await;
 
     let publisher = bus.clone();
-    let began = Instant::now();
+    let started_at = Instant::now();
     let publishing = tokio::spawn(async move {
-        let mut every = tokio::time::interval(Duration::from_millis(5));
+        let mut interval = tokio::time::interval(Duration::from_millis(5));
         for tag in 0..400 {
-            every.tick().await;
+            interval.tick().await;
             publisher.purge(tag);
         }
     });
     let mut answers = Vec::new();
     while gateway.from < 401 {
         answers.push(gateway.poll(1_000).await.unwrap());
-        assert!(began.elapsed() < support::PATIENCE, "{} of 401 events", gateway.from);
+        assert!(started_at.elapsed() < support::TEST_TIMEOUT, "timed out at {} of 401 events", gateway.from);
     }
-    let took = began.elapsed();
+    let elapsed = started_at.elapsed();
     publishing.await.unwrap();
     assert_eq!(events(&answers), bus.events_after(1));
-    // Ten a second, and one each for the first and the last.
-    let most = took.as_secs_f64() * 10.0 + 2.0;
-    assert!(answers.len() as f64 <= most, "{} answers in {took:?}", answers.len());
+    // With the batch delay of 100 ms: ten answers a second, plus one for the first event and one for the last.
+    let max_answers = elapsed.as_secs_f64() * 10.0 + 2.0;
+    assert!(answers.len() as f64 <= max_answers, "{} answers in {elapsed:?}", answers.len());
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn subscriber_before_log_base_receives_snapshot() {
-    let bus = Bus::start(Some("feed-a")).await;
+    let bus = FakeBus::start(Some("feed-a")).await;
     let relay = start(&relay_file("r1", &[bus.address], "log-room=16"));
     let mut late = Subscriber::new(relay.address, "late");
     late.catch_up(1).await;
@@ -127,33 +132,33 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn restarted_relay_serves_earlier_subscribers() {
-    let bus = Bus::start(Some("feed-a")).await;
+    let bus = FakeBus::start(Some("feed-a")).await;
     let listen = unused_address();
-    let file = file_with("r1", listen, &[bus.address], &[], "");
+    let file = relay_file_with("r1", listen, &[bus.address], &[], "");
     let relay = start(&file);
     let mut gateway = Subscriber::new(relay.address, "g1");
     let before = bus.purge(1);
     gateway.catch_up(before).await;
     relay.stop().await;
 
-    bus.mode(Mode::Failing);
+    bus.set_mode(BusMode::Failing);
     let relay = start(&file);
-    let refused = gateway.ask(0).await;
+    let result = gateway.send_poll(0).await;
     assert!(
-        matches!(refused, Err(CallError::UnexpectedStatus { status, retry_after: Some(_) }) if status == 503),
-        "a relay that knows nothing says so"
+        matches!(result, Err(CallError::UnexpectedStatus { status, retry_after: Some(_) }) if status == 503),
+        "a relay without events must answer 503 with a Retry-After"
     );
-    bus.mode(Mode::Answering);
+    bus.set_mode(BusMode::Answering);
     let after = bus.purge(2);
     let answers = gateway.catch_up(after).await;
-    let told = events(&answers);
-    assert!(told.iter().any(|event| event["ban"]["tag"] == 2), "{told:?}");
+    let received = events(&answers);
+    assert!(received.iter().any(|event| event["ban"]["tag"] == 2), "{received:?}");
     relay.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bus_with_new_feed_is_followed_by_snapshot() {
-    let bus = Bus::start(Some("feed-a")).await;
+async fn new_feed_of_bus_is_sent_as_snapshot() {
+    let bus = FakeBus::start(Some("feed-a")).await;
     let relay = start(&relay_file("r1", &[bus.address], ""));
     let mut gateway = Subscriber::new(relay.address, "g1");
     for tag in 0..10 {
@@ -161,10 +166,10 @@
     }
     gateway.catch_up(bus.last()).await;
 
-    bus.begin_anew(Some("feed-b"));
+    bus.restart_with_empty_log(Some("feed-b"));
     let last = bus.purge(77);
-    until("the new numbering", async || {
-        let answer = gateway.ask(100).await;
+    wait_until("an answer with the new feed", async || {
+        let answer = gateway.send_poll(100).await;
         answer.is_ok_and(|answer| answer["feed"] == "feed-b")
     })
     .await;
@@ -174,8 +179,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn upstream_behind_relay_proves_no_freshness() {
-    let bus = Bus::start(Some("feed-a")).await;
+async fn upstream_behind_relay_does_not_renew_lease() {
+    let bus = FakeBus::start(Some("feed-a")).await;
     let relay = start(&relay_file("r1", &[bus.address], ""));
     let mut gateway = Subscriber::new(relay.address, "g1");
     for tag in 0..10 {
@@ -183,8 +188,8 @@
     }
     gateway.catch_up(11).await;
 
-    bus.begin_anew(Some("feed-a"));
-    until("an age over the lease", async || {
+    bus.restart_with_empty_log(Some("feed-a"));
+    wait_until("an age above the lease", async || {
         let status = get_json(relay.address, "/feed/status").await;
         assert_eq!(status["offset"], 11, "{status}");
         status["age_ms"].as_f64().unwrap() > 2_500.0
@@ -194,35 +199,35 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn relays_in_a_loop_are_detected() {
-    let bus = Bus::start(Some("feed-a")).await;
-    let (one, other) = (unused_address(), unused_address());
-    let first = start(&file_with("r1", one, &[bus.address, other], &[], ""));
-    let second = start(&file_with("r2", other, &[bus.address, one], &[], ""));
+    let bus = FakeBus::start(Some("feed-a")).await;
+    let (first_address, second_address) = (unused_address(), unused_address());
+    let first = start(&relay_file_with("r1", first_address, &[bus.address, second_address], &[], ""));
+    let second = start(&relay_file_with("r2", second_address, &[bus.address, first_address], &[], ""));
     let last = bus.purge(1);
-    for relay in [one, other] {
+    for relay in [first_address, second_address] {
         Subscriber::new(relay, "g1").catch_up(last).await;
     }
 
-    bus.mode(Mode::Failing);
-    let ages = async || {
+    bus.set_mode(BusMode::Failing);
+    let ages_and_refusals = async || {
         let mut ages = Vec::new();
         let mut refused = 0;
-        for relay in [one, other] {
+        for relay in [first_address, second_address] {
             let status = get_json(relay, "/feed/status").await;
             ages.push(status["age_ms"].as_f64().unwrap());
             refused += status["counters"]["loops_refused"].as_u64().unwrap();
         }
         (ages, refused)
     };
-    until("a refused loop, and ages over the lease", async || {
-        let (ages, refused) = ages().await;
+    wait_until("a refused loop, and ages above the lease", async || {
+        let (ages, refused) = ages_and_refusals().await;
         refused > 0 && ages.iter().all(|age| *age > 2_500.0)
     })
     .await;
 
-    bus.mode(Mode::Answering);
+    bus.set_mode(BusMode::Answering);
     let next = bus.purge(2);
-    for relay in [one, other] {
+    for relay in [first_address, second_address] {
         Subscriber::new(relay, "g1").catch_up(next).await;
     }
     first.stop().await;
--- a/crates/relay/tests/limits.rs
+++ b/crates/relay/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Bad input, bounds, and the end of a relay.
+//! Invalid input, limits, and the shutdown of a relay.
 
 mod support;
 
@@ -6,12 +6,13 @@
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 use support::{
-    Bus, Mode, Subscriber, connect_from, get_json, raw, relay_file, request, start, start_broken, until,
+    BusMode, FakeBus, Subscriber, connect_from, get_json, relay_file, request, send_and_read, start,
+    start_stub_server, wait_until,
 };
 use tokio::net::TcpStream;
 
-/// Status and body of an answer's text.
-fn parts(answer: &str) -> (&str, &str) {
+/// The status and the body of an HTTP answer.
+fn status_and_body(answer: &str) -> (&str, &str) {
     let status = answer.split(' ').nth(1).unwrap_or_default();
     let body = answer.split_once("\r\n\r\n").map_or("", |(_, body)| body);
     (status, body)
@@ -19,10 +20,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn invalid_query_is_answered_400_with_position() {
-    let bus = Bus::start(Some("feed-a")).await;
+    let bus = FakeBus::start(Some("feed-a")).await;
     let relay = start(&relay_file("r1", &[bus.address], ""));
     Subscriber::new(relay.address, "g1").catch_up(1).await;
-    let long = "x".repeat(2_000);
+    let long_value = "x".repeat(2_000);
     let cases = [
         ("/bus/read", "`from` is missing"),
         ("/bus/read?hold=100", "`from` is missing"),
@@ -33,7 +34,7 @@
         ("/bus/read?from=1&feed=a/b", "byte 12: not an identity"),
         ("/bus/read?from=1&name=g1", "only given together"),
         ("/bus/read?from=1&name=%zz&incarnation=1", "not a name"),
-        (&format!("/bus/read?from=1&other={long}"), "longer than 1024 bytes"),
+        (&format!("/bus/read?from=1&other={long_value}"), "longer than 1024 bytes"),
         ("/feed/wait?offset=1", "within_ms"),
         ("/feed/wait?offset=x&within_ms=1", "offset"),
         ("/feed/wait?offset=1&within_ms=3600000", "within_ms is over 60000"),
@@ -41,7 +42,7 @@
     ];
     for (path, cause) in cases {
         let answer = request(relay.address, "GET", path).await;
-        let (status, body) = parts(&answer);
+        let (status, body) = status_and_body(&answer);
         assert_eq!(status, "400", "{path}: {answer}");
         assert!(body.contains(cause), "{path}: {body}");
     }
@@ -49,7 +50,7 @@
         [("GET", "/feed/forget?name=g1", "405"), ("POST", "/feed/forget", "400"), ("GET", "/bus", "404")]
     {
         let answer = request(relay.address, method, path).await;
-        assert_eq!(parts(&answer).0, status, "{method} {path}: {answer}");
+        assert_eq!(status_and_body(&answer).0, status, "{method} {path}: {answer}");
     }
     let status = get_json(relay.address, "/feed/status").await;
     assert_eq!(status["counters"]["bad"], 10, "{status}");
@@ -57,72 +58,82 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn unknown_parameters_and_huge_offset_are_accepted() {
-    let bus = Bus::start(Some("feed-a")).await;
+    let bus = FakeBus::start(Some("feed-a")).await;
     let relay = start(&relay_file("r1", &[bus.address], ""));
     Subscriber::new(relay.address, "g1").catch_up(1).await;
     let answer = get_json(relay.address, "/bus/read?from=0&hold=0&colour=red&x").await;
     assert_eq!(answer["offset"], 1, "{answer}");
 
-    let ahead = format!("/bus/read?from={}&hold=50&feed=feed-a", u64::MAX);
-    let began = Instant::now();
-    let answer = get_json(relay.address, &ahead).await;
-    assert!(began.elapsed() >= Duration::from_millis(50), "a poll that is ahead is held");
+    let path_of_poll_ahead = format!("/bus/read?from={}&hold=50&feed=feed-a", u64::MAX);
+    let started_at = Instant::now();
+    let answer = get_json(relay.address, &path_of_poll_ahead).await;
+    assert!(
+        started_at.elapsed() >= Duration::from_millis(50),
+        "a poll from an offset above the log must stay pending"
+    );
     assert_eq!((&answer["offset"], &answer["batch"]), (&json!(1), &json!([])), "{answer}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn request_head_over_8_kb_is_refused() {
-    let bus = Bus::start(Some("feed-a")).await;
+    let bus = FakeBus::start(Some("feed-a")).await;
     let relay = start(&relay_file("r1", &[bus.address], ""));
     let head = |length: usize| format!("GET /feed/status HTTP/1.1\r\nX: {}\r\n\r\n", "y".repeat(length));
     let mut stream = TcpStream::connect(relay.address).await.unwrap();
-    let answer = raw(&mut stream, &head(9_000)).await;
-    assert_eq!(parts(&answer).0, "431", "{answer}");
+    let answer = send_and_read(&mut stream, &head(9_000)).await;
+    assert_eq!(status_and_body(&answer).0, "431", "{answer}");
 
     let mut stream = TcpStream::connect(relay.address).await.unwrap();
-    let answer = raw(&mut stream, &head(7_000)).await;
-    assert_eq!(parts(&answer).0, "200", "{answer}");
+    let answer = send_and_read(&mut stream, &head(7_000)).await;
+    assert_eq!(status_and_body(&answer).0, "200", "{answer}");
 
     let mut stream = TcpStream::connect(relay.address).await.unwrap();
-    let answer = raw(&mut stream, "no HTTP at all\r\n\r\n").await;
-    assert_eq!(parts(&answer).0, "400", "{answer}");
+    let answer = send_and_read(&mut stream, "no HTTP at all\r\n\r\n").await;
+    assert_eq!(status_and_body(&answer).0, "400", "{answer}");
 }
 
-/// What a broken upstream answers, and what the relay's log and status tell of it.
-async fn stays_empty_after(answer: Vec<u8>) -> Value {
-    let broken = start_broken(answer).await;
-    let bus = Bus::start(Some("feed-a")).await;
-    bus.mode(Mode::Failing);
-    let relay = start(&relay_file("r1", &[broken, bus.address], ""));
-    until("three failures", async || {
+/// Asserts that a relay applies nothing of a malformed answer, and then polls its next upstream. Returns the relay's
+/// status after the failures.
+async fn assert_answer_is_rejected(answer: Vec<u8>) -> Value {
+    let stub = start_stub_server(answer).await;
+    let bus = FakeBus::start(Some("feed-a")).await;
+    bus.set_mode(BusMode::Failing);
+    let relay = start(&relay_file("r1", &[stub, bus.address], ""));
+    wait_until("three failures", async || {
         get_json(relay.address, "/feed/status").await["counters"]["upstream_failures"].as_u64().unwrap() >= 3
     })
     .await;
     let status = get_json(relay.address, "/feed/status").await;
     assert_eq!(status["offset"], 0, "{status}");
 
-    // The next upstream serves on.
-    bus.mode(Mode::Answering);
+    // The relay polls its next upstream.
+    bus.set_mode(BusMode::Answering);
     Subscriber::new(relay.address, "g1").catch_up(1).await;
     status
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn broken_upstream_answer_changes_nothing() {
-    let whole = json!({"offset": 1, "feed": "feed-x", "batch": [{"offset": 1, "ban": {"tag": 1, "ts": 1}}]})
+async fn malformed_upstream_answer_changes_nothing() {
+    let body = json!({"offset": 1, "feed": "feed-x", "batch": [{"offset": 1, "ban": {"tag": 1, "ts": 1}}]})
         .to_string();
     let head = |length: usize| format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n");
-    let cut = format!("{}{whole}", head(whole.len() + 10));
-    let no_json = format!("{}{}", head(20), "{\"offset\":1,\"batch\":");
+    let truncated = format!("{}{body}", head(body.len() + 10));
+    let incomplete_json = format!("{}{}", head(20), "{\"offset\":1,\"batch\":");
     let no_offset = format!("{}{}", head(12), "{\"batch\":[]}");
     let bad_feed = r#"{"offset":1,"feed":"a b","batch":[]}"#;
     let bad_feed = format!("{}{bad_feed}", head(bad_feed.len()));
     let looped =
-        format!("HTTP/1.1 200 OK\r\nFeed-Via: r0, r1\r\nContent-Length: {}\r\n\r\n{whole}", whole.len());
-    for answer in
-        [cut, no_json, no_offset, bad_feed, looped, "HTTP/1.1 200".into(), "nothing known\r\n\r\n".into()]
-    {
-        stays_empty_after(answer.into_bytes()).await;
+        format!("HTTP/1.1 200 OK\r\nFeed-Via: r0, r1\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    for answer in [
+        truncated,
+        incomplete_json,
+        no_offset,
+        bad_feed,
+        looped,
+        "HTTP/1.1 200".into(),
+        "nothing known\r\n\r\n".into(),
+    ] {
+        assert_answer_is_rejected(answer.into_bytes()).await;
     }
 }
 
@@ -130,20 +141,20 @@
 async fn oversized_upstream_answer_changes_nothing() {
     let length = MAX_BODY_BYTES + 1;
     let mut answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n").into_bytes();
-    // Its JSON would be read, were it not for its length.
+    // The JSON itself is valid: only the length can cause the rejection.
     answer.extend_from_slice(br#"{"offset":1,"feed":"feed-x","batch":[]}"#);
     answer.resize(answer.len() + length, b' ');
-    let broken = start_broken(answer.clone()).await;
-    let call = HttpClient::new().get(broken, "/bus/read").await;
+    let stub = start_stub_server(answer.clone()).await;
+    let call = HttpClient::new().get(stub, "/bus/read").await;
     assert!(matches!(call, Err(CallError::TooLong)), "{:?}", call.err());
-    stays_empty_after(answer).await;
+    assert_answer_is_rejected(answer).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_upstream_times_out_and_next_is_polled() {
-    let silent = Bus::start(Some("feed-a")).await;
-    silent.mode(Mode::Silent);
-    let bus = Bus::start(Some("feed-a")).await;
+    let silent = FakeBus::start(Some("feed-a")).await;
+    silent.set_mode(BusMode::Silent);
+    let bus = FakeBus::start(Some("feed-a")).await;
     let relay = start(&relay_file("r1", &[silent.address, bus.address], ""));
     Subscriber::new(relay.address, "g1").catch_up(1).await;
     assert!(silent.polls() > 0);
@@ -152,17 +163,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn connections_of_one_address_leave_capacity_for_others() {
     rlimit::increase_nofile_limit(8_192).unwrap();
-    let bus = Bus::start(Some("feed-a")).await;
+    let bus = FakeBus::start(Some("feed-a")).await;
     let relay = start(&relay_file("r1", &[bus.address], "per-address=64 sessions=200"));
     let mut other = Subscriber::new(relay.address, "g1");
     other.catch_up(1).await;
     drop(other);
 
-    let mut open = Vec::new();
+    let mut connections_of_first_address = Vec::new();
     for _ in 0..1_000 {
-        open.push(connect_from("127.0.0.2", relay.address).await);
+        connections_of_first_address.push(connect_from("127.0.0.2", relay.address).await);
     }
-    until("64 connections served", async || {
+    wait_until("64 served connections", async || {
         get_json(relay.address, "/feed/status").await["connections"].as_u64().unwrap() >= 64
     })
     .await;
@@ -170,35 +181,42 @@
     let connections = status["connections"].as_u64().unwrap();
     assert!((64..64 + 10).contains(&connections), "{connections} connections are served");
 
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut stream = connect_from("127.0.0.3", relay.address).await;
-    let answer = raw(&mut stream, "GET /bus/read?from=0&hold=0 HTTP/1.1\r\nConnection: close\r\n\r\n").await;
-    assert_eq!(parts(&answer).0, "200", "{answer}");
-    assert!(began.elapsed() < Duration::from_secs(1), "another address waited {:?}", began.elapsed());
+    let answer =
+        send_and_read(&mut stream, "GET /bus/read?from=0&hold=0 HTTP/1.1\r\nConnection: close\r\n\r\n").await;
+    assert_eq!(status_and_body(&answer).0, "200", "{answer}");
+    assert!(
+        started_at.elapsed() < Duration::from_secs(1),
+        "another address waited {:?}",
+        started_at.elapsed()
+    );
 
-    // One more of the first address is told when to come back, once those being refused have gone.
-    until("a refusal with a time", async || {
+    // A further connection from the first address is answered 503 with a Retry-After once the refusals in progress have
+    // ended.
+    wait_until("a refusal with a Retry-After", async || {
         let mut stream = connect_from("127.0.0.2", relay.address).await;
-        let answer = raw(&mut stream, "GET /bus/read?from=0&hold=0 HTTP/1.1\r\n\r\n").await;
-        assert_ne!(parts(&answer).0, "200", "{answer}");
-        parts(&answer).0 == "503" && answer.contains("Retry-After: 1\r\n")
+        let answer = send_and_read(&mut stream, "GET /bus/read?from=0&hold=0 HTTP/1.1\r\n\r\n").await;
+        assert_ne!(status_and_body(&answer).0, "200", "{answer}");
+        status_and_body(&answer).0 == "503" && answer.contains("Retry-After: 1\r\n")
     })
     .await;
 
-    // And served again as soon as the others have closed.
-    drop(open);
-    until("a place after the others have closed", async || {
+    // Connections from the first address are admitted again once the others have closed.
+    drop(connections_of_first_address);
+    wait_until("an admitted connection after the others have closed", async || {
         let mut stream = connect_from("127.0.0.2", relay.address).await;
         let answer =
-            raw(&mut stream, "GET /bus/read?from=0&hold=0 HTTP/1.1\r\nConnection: close\r\n\r\n").await;
-        parts(&answer).0 == "200"
+            send_and_read(&mut stream, "GET /bus/read?from=0&hold=0 HTTP/1.1\r\nConnection: close\r\n\r\n")
+                .await;
+        status_and_body(&answer).0 == "200"
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn closed_pending_poll_releases_its_session() {
-    let bus = Bus::start(Some("feed-a")).await;
+    let bus = FakeBus::start(Some("feed-a")).await;
     let relay = start(&relay_file("r1", &[bus.address], "sessions=20"));
     Subscriber::new(relay.address, "g1").catch_up(1).await;
     for _ in 0..5 {
@@ -209,37 +227,37 @@
             tokio::io::AsyncWriteExt::write_all(&mut stream, poll).await.unwrap();
             streams.push(stream);
         }
-        let held = async || get_json(relay.address, "/feed/status").await["held_polls"].as_u64().unwrap();
-        until("ten held polls", async || held().await == 10).await;
+        let pending = async || get_json(relay.address, "/feed/status").await["held_polls"].as_u64().unwrap();
+        wait_until("ten pending polls", async || pending().await == 10).await;
         drop(streams);
-        until("no held poll", async || held().await == 0).await;
+        wait_until("no pending poll", async || pending().await == 0).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn stopping_relay_answers_pending_polls_at_once() {
-    let bus = Bus::start(Some("feed-a")).await;
+    let bus = FakeBus::start(Some("feed-a")).await;
     let relay = start(&relay_file("r1", &[bus.address], ""));
     let mut gateway = Subscriber::new(relay.address, "g1");
     gateway.catch_up(1).await;
     let address = relay.address;
-    let polling = tokio::spawn(async move { gateway.ask(20_000).await });
-    until("a held poll", async || get_json(address, "/feed/status").await["held_polls"] == 1).await;
+    let polling = tokio::spawn(async move { gateway.send_poll(20_000).await });
+    wait_until("a pending poll", async || get_json(address, "/feed/status").await["held_polls"] == 1).await;
 
-    let began = Instant::now();
+    let started_at = Instant::now();
     relay.stop().await;
-    let end = polling.await.unwrap();
-    assert!(began.elapsed() < Duration::from_secs(2), "the stop took {:?}", began.elapsed());
-    let refused = end.expect_err("a relay that stops has no news").to_string();
-    assert!(refused.contains("503"), "{refused}");
-    assert!(TcpStream::connect(address).await.is_err(), "it still listens");
+    let result = polling.await.unwrap();
+    assert!(started_at.elapsed() < Duration::from_secs(2), "the shutdown took {:?}", started_at.elapsed());
+    let error = result.expect_err("a relay that shuts down answers 503").to_string();
+    assert!(error.contains("503"), "{error}");
+    assert!(TcpStream::connect(address).await.is_err(), "the relay still listens");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn pending_polls_share_one_body() {
     const POLLS: usize = 2_000;
     rlimit::increase_nofile_limit(16_384).unwrap();
-    let bus = Bus::start(Some("feed-a")).await;
+    let bus = FakeBus::start(Some("feed-a")).await;
     let relay = start(&relay_file("r1", &[bus.address], "per-address=3000"));
     Subscriber::new(relay.address, "g1").catch_up(1).await;
     let mut streams = Vec::new();
@@ -251,17 +269,17 @@
         streams.push(stream);
     }
     let status = async || get_json(relay.address, "/feed/status").await;
-    until("all polls held", async || status().await["held_polls"] == POLLS).await;
+    wait_until("2000 pending polls", async || status().await["held_polls"] == POLLS).await;
     let bodies = async || status().await["counters"]["bodies"].as_u64().unwrap();
-    let before = bodies().await;
+    let bodies_before = bodies().await;
 
     bus.drain("store-1");
-    let mut told = std::collections::HashSet::new();
+    let mut received = std::collections::HashSet::new();
     for mut stream in streams {
-        let answer = raw(&mut stream, "").await;
-        told.insert(parts(&answer).1.to_string());
+        let answer = send_and_read(&mut stream, "").await;
+        received.insert(status_and_body(&answer).1.to_string());
     }
-    assert_eq!(told.len(), 1, "{told:?}");
-    assert!(told.iter().all(|body| body.contains("draining")), "{told:?}");
-    assert_eq!(bodies().await, before + 1);
+    assert_eq!(received.len(), 1, "{received:?}");
+    assert!(received.iter().all(|body| body.contains("draining")), "{received:?}");
+    assert_eq!(bodies().await, bodies_before + 1);
 }
--- a/crates/relay/tests/program.rs
+++ b/crates/relay/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program itself: its file, its signals, its exit codes.
+//! The program `sagearch-relay`: its configuration file, signals and exit codes.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
@@ -6,30 +6,30 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// A folder that goes with the test.
-struct Folder(PathBuf);
+/// A temporary directory that is removed when dropped.
+struct TempDirectory(PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
-        let folder = std::env::temp_dir().join(format!("sagearch-relay-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).unwrap();
-        Folder(folder)
+impl TempDirectory {
+    fn new(name: &str) -> TempDirectory {
+        let directory = std::env::temp_dir().join(format!("sagearch-relay-{name}-{}", std::process::id()));
+        std::fs::create_dir_all(&directory).unwrap();
+        TempDirectory(directory)
     }
 
-    fn file(&self, text: &str) -> PathBuf {
+    fn write_file(&self, text: &str) -> PathBuf {
         let file = self.0.join("relay.kdl");
         std::fs::write(&file, text).unwrap();
         file
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// A process that ends with the test.
+/// A process that is killed when dropped.
 struct Process(Child);
 
 impl Drop for Process {
@@ -45,31 +45,32 @@
 
 #[test]
 fn faulty_file_is_reported_with_positions_and_exit_code_2() {
-    let folder = Folder::new("faults");
-    let file = folder.file("relay \"r1\" listen=\"127.0.0.1:0\" batch=5 {\n    upstrem \"127.0.0.1:1\"\n}\n");
-    for call in ["serve", "check"] {
-        let output = command().arg(call).arg(&file).output().unwrap();
+    let directory = TempDirectory::new("faults");
+    let file = directory
+        .write_file("relay \"r1\" listen=\"127.0.0.1:0\" batch=5 {\n    upstrem \"127.0.0.1:1\"\n}\n");
+    for subcommand in ["serve", "check"] {
+        let output = command().arg(subcommand).arg(&file).output().unwrap();
         assert_eq!(output.status.code(), Some(2));
-        let told = String::from_utf8(output.stderr).unwrap();
-        let place = file.to_string_lossy();
-        assert!(told.contains(&format!("{place}:1:33: batch is a time without its unit")), "{told}");
+        let stderr = String::from_utf8(output.stderr).unwrap();
+        let path = file.to_string_lossy();
+        assert!(stderr.contains(&format!("{path}:1:33: batch is a time without its unit")), "{stderr}");
         assert!(
-            told.contains(&format!("{place}:2:5: \"upstrem\" is not known here; \"upstream\" is")),
-            "{told}"
+            stderr.contains(&format!("{path}:2:5: \"upstrem\" is not known here; \"upstream\" is")),
+            "{stderr}"
         );
     }
-    let output = command().arg("serve").arg(folder.0.join("none.kdl")).output().unwrap();
+    let output = command().arg("serve").arg(directory.0.join("none.kdl")).output().unwrap();
     assert_eq!(output.status.code(), Some(2));
     assert!(String::from_utf8(output.stderr).unwrap().contains("none.kdl"));
 }
 
 #[test]
 fn address_in_use_is_reported_with_exit_code_2() {
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let folder = Folder::new("taken");
-    let address = taken.local_addr().unwrap();
-    let file =
-        folder.file(&format!("relay \"r1\" listen=\"{address}\" {{\n    upstream \"127.0.0.1:1\"\n}}\n"));
+    let occupied = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let directory = TempDirectory::new("taken");
+    let address = occupied.local_addr().unwrap();
+    let file = directory
+        .write_file(&format!("relay \"r1\" listen=\"{address}\" {{\n    upstream \"127.0.0.1:1\"\n}}\n"));
     let output = command().arg("serve").arg(&file).output().unwrap();
     assert_eq!(output.status.code(), Some(2));
     assert!(
@@ -79,14 +80,15 @@
 
 #[test]
 fn relay_serves_until_sigterm_and_exits_0() {
-    let folder = Folder::new("serves");
-    let file = folder.file("relay \"r1\" listen=\"127.0.0.1:0\" {\n    upstream \"127.0.0.1:1\"\n}\n");
+    let directory = TempDirectory::new("serves");
+    let file =
+        directory.write_file("relay \"r1\" listen=\"127.0.0.1:0\" {\n    upstream \"127.0.0.1:1\"\n}\n");
     let mut child =
         Process(command().arg("serve").arg(&file).arg("--log-json").stderr(Stdio::piped()).spawn().unwrap());
     let mut log = BufReader::new(child.0.stderr.take().unwrap());
     let address = loop {
         let mut line = String::new();
-        assert!(log.read_line(&mut line).unwrap() > 0, "it ended");
+        assert!(log.read_line(&mut line).unwrap() > 0, "the program ended before it logged its address");
         let line: serde_json::Value = serde_json::from_str(&line).unwrap();
         if let Some(address) = line["fields"]["address"].as_str() {
             break address.to_string();
@@ -98,12 +100,12 @@
     stream.read_to_string(&mut answer).unwrap();
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
 
-    // An idle connection does not keep it.
+    // An idle connection does not delay the shutdown.
     let _idle = TcpStream::connect(&address).unwrap();
-    let began = Instant::now();
+    let started_at = Instant::now();
     let killed = Command::new("kill").args(["-TERM", &child.0.id().to_string()]).status().unwrap();
     assert!(killed.success());
     let status = child.0.wait().unwrap();
     assert_eq!(status.code(), Some(0));
-    assert!(began.elapsed() < Duration::from_secs(5), "the end took {:?}", began.elapsed());
+    assert!(started_at.elapsed() < Duration::from_secs(5), "the shutdown took {:?}", started_at.elapsed());
 }
--- a/tests/stand/relay.rs
+++ b/tests/stand/relay.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a relay of the event feed, on plain threads.
+//! A fake relay of the event feed, on plain threads.
 
 use super::read_head;
 use serde_json::{Value, json};
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A poll that has come in.
+/// A poll that the fake relay received.
 #[derive(Clone, Debug)]
 pub struct Seen {
     pub line: String,
@@ -16,18 +16,18 @@
     pub at: Instant,
 }
 
-/// What a relay holds and how it behaves; may be changed at any time.
+/// The content and the behaviour of a fake relay; both may change at any time.
 pub struct State {
     pub feed: String,
     pub events: Vec<Value>,
-    /// What a snapshot holds.
+    /// The events of a snapshot.
     pub snapshot: Vec<Value>,
     pub age_ms: u64,
-    /// Takes calls and answers none.
+    /// Accepts polls without answering them.
     pub silent: bool,
-    /// Answers as if it had heard of no later event.
+    /// Answers as if this were the last event; later ones are withheld.
     pub behind_at: Option<u64>,
-    /// The body of each answer in place of a good one.
+    /// The body of each answer in place of a valid one.
     pub nonsense: Option<String>,
     pub polls: Vec<Seen>,
 }
@@ -53,11 +53,11 @@
         };
         let shared = Arc::new((Mutex::new(state), Condvar::new()));
         let relay = Relay { at: listener.local_addr().unwrap(), shared };
-        let serving = relay.clone();
+        let server = relay.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let serving = serving.clone();
-                thread::spawn(move || serving.serve(&stream));
+                let server = server.clone();
+                thread::spawn(move || server.serve(&stream));
             }
         });
         relay
@@ -67,13 +67,14 @@
         self.shared.0.lock().unwrap()
     }
 
+    /// Changes the state and wakes all pending polls.
     pub fn change(&self, change: impl FnOnce(&mut State)) {
         change(&mut self.state());
         self.shared.1.notify_all();
     }
 
-    /// An event with the next number, which it returns.
-    #[expect(clippy::needless_pass_by_value, reason = "callers hand in a value that they make in place")]
+    /// Appends an event and returns its offset.
+    #[expect(clippy::needless_pass_by_value, reason = "callers pass temporary values")]
     pub fn push(&self, key: &str, value: Value) -> u64 {
         let mut offset = 0;
         self.change(|state| {
@@ -83,6 +84,7 @@
         offset
     }
 
+    /// Appends a topology with these instances and returns its offset.
     pub fn list(&self, instances: &[Value]) -> u64 {
         self.push("topology", json!({"generation": 1, "reset": true, "instances": instances}))
     }
@@ -111,23 +113,23 @@
         }
     }
 
-    /// `None`: it stays silent on this connection.
+    /// The body of the answer to a request line, or `None` if the fake relay is silent.
     fn answer(&self, line: &str) -> Option<String> {
-        let word = |key: &str| -> Option<String> {
+        let parameter = |key: &str| -> Option<String> {
             let (_, rest) = line.split_once(&format!("{key}="))?;
             Some(rest.split(['&', ' ']).next()?.to_string())
         };
-        let number = |key: &str| word(key).unwrap().parse::<u64>().unwrap();
+        let number = |key: &str| parameter(key).unwrap().parse::<u64>().unwrap();
         let (from, hold) = (number("from"), Duration::from_millis(number("hold")));
         let mut state = self.state();
         state.polls.push(Seen { line: line.trim_end().into(), from, at: Instant::now() });
-        let anew = |state: &State| word("feed").is_some_and(|feed| feed != state.feed);
-        let nothing_new = |state: &mut State| !anew(state) && state.last() <= from && !state.silent;
+        let needs_snapshot = |state: &State| parameter("feed").is_some_and(|feed| feed != state.feed);
+        let nothing_new = |state: &mut State| !needs_snapshot(state) && state.last() <= from && !state.silent;
         let (state, _) = self.shared.1.wait_timeout_while(state, hold, nothing_new).unwrap();
         if state.silent {
             return None;
         }
-        Some(state.body(from, anew(&state)))
+        Some(state.body(from, needs_snapshot(&state)))
     }
 }
 
@@ -136,13 +138,13 @@
         self.behind_at.unwrap_or(self.events.len() as u64)
     }
 
-    fn body(&self, from: u64, anew: bool) -> String {
+    fn body(&self, from: u64, needs_snapshot: bool) -> String {
         if let Some(nonsense) = &self.nonsense {
             return nonsense.clone();
         }
         let last = self.last();
         let mut answer = json!({"offset": last, "feed": self.feed, "age_ms": self.age_ms});
-        if anew {
+        if needs_snapshot {
             answer["snapshot"] = json!(true);
             answer["batch"] = json!(self.snapshot);
         } else {
