--- a/crates/relay/src/running.rs
+++ b/crates/relay/src/running.rs
@@ -69,7 +69,7 @@
         let clock = Clock::start();
         let relay = Relay::new(relay_settings(file), clock.now());
         let state = Arc::new(State::new(&file.name, micros_from_millis(file.lease), relay, clock));
-        let background_tasks = start_background_tasks(file, &state);
+        let background_tasks = start_tasks(file, &state);
 
         let admission = Admission::new(limits);
         let router = routes::router(state.clone(), admission.clone());
@@ -100,7 +100,7 @@
     }
 }
 
-fn start_background_tasks(file: &RelayFile, state: &Arc<State>) -> JoinSet<()> {
+fn start_tasks(file: &RelayFile, state: &Arc<State>) -> JoinSet<()> {
     let client = HttpClient::new();
     let mut tasks = JoinSet::new();
     tasks.spawn(ticker::run(state.clone()));
