--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,8 +1,8 @@
-//! Endpoint lists and purges: from the event bus by long poll, or over relays of the event feed.
+//! Receives endpoint lists and purges: from the event bus by long poll, or from relays of the event feed.
 //!
-//! - `bus`: polls the event bus; `feed`: polls relays; `long_poll`: their HTTP client;
-//! - `event_sink`: applies events; `event_times`: judges how old events are;
-//! - `staleness`: tells operators about an expired freshness lease.
+//! - `bus`: polls the event bus; `feed`: polls relays; `long_poll`: the HTTP client of both;
+//! - `event_sink`: applies events; `event_times`: estimates how old events are;
+//! - `staleness`: reports an expired freshness lease in logs and metrics.
 
 pub mod bus;
 pub mod event_sink;
--- a/src/net/discovery/bus/tests.rs
+++ b/src/net/discovery/bus/tests.rs
@@ -1,33 +1,35 @@
 use super::*;
 use rstest::rstest;
 
-/// All gateways lose the bus in the same instant, by a refusal or by silence. At no time does a large part of them call at
-/// once, and none calls late.
+/// All gateways lose the bus at the same instant, because it refuses connections or is silent. Guards against many
+/// gateways that reconnect at once, and against pauses longer than the limits.
 #[rstest]
 #[case::refused(false)]
 #[case::silent(true)]
-fn polls_of_a_fleet_after_a_lost_bus_are_spread(#[case] silent: bool) {
-    let mut calls: Vec<u128> = Vec::new();
+fn reconnects_of_many_gateways_after_a_lost_bus_are_spread(#[case] silent: bool) {
+    let mut reconnect_millis: Vec<u128> = Vec::new();
     for gateway in 0..300_u64 {
         let mut timing = PollTiming::new(gateway.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        let mut at = Duration::ZERO;
-        // Those that are refused call again and again; the return falls into their longest pauses.
+        let mut elapsed = Duration::ZERO;
+        // Refused gateways retry many times; the bus returns when their backoff is longest.
         for _ in 0..if silent { 1 } else { 50 } {
             let pause = if silent { timing.silence_timeout() } else { timing.backoff() };
             assert!(
                 pause
                     <= Duration::from_millis(if silent {
-                        POLL_HOLD_MS + 2 * SILENCE_MARGIN_MS
+                        POLL_HOLD_MILLIS + 2 * SILENCE_MARGIN_MILLIS
                     } else {
-                        MAX_BACKOFF_MS
+                        MAX_BACKOFF_MILLIS
                     })
             );
-            at += pause;
+            elapsed += pause;
         }
-        calls.push(at.as_millis());
+        reconnect_millis.push(elapsed.as_millis());
     }
-    calls.sort_unstable();
-    let most =
-        calls.iter().map(|from| calls.iter().filter(|at| (*from..from + 10).contains(at)).count()).max();
-    assert!(most.unwrap() < 60, "{most:?} of 300 within 10 ms");
+    reconnect_millis.sort_unstable();
+    let max_within_window = reconnect_millis
+        .iter()
+        .map(|start| reconnect_millis.iter().filter(|at| (*start..start + 10).contains(at)).count())
+        .max();
+    assert!(max_within_window.unwrap() < 60, "{max_within_window:?} of 300 reconnects within 10 ms");
 }
--- a/src/net/discovery/long_poll.rs
+++ b/src/net/discovery/long_poll.rs
@@ -1,5 +1,5 @@
-//! The HTTP/1.1 client of long polls: connections whose bytes are counted and which end with the feed, and complete
-//! responses.
+//! HTTP/1.1 client of long polls: connections whose bytes are counted and which another thread can shut down, and a
+//! parser of complete responses.
 
 use crate::metrics::FeedCounters;
 use crate::net::io_error::set_nodelay;
@@ -13,35 +13,35 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// How long opening a connection may take.
+/// The longest time that opening a connection may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How many bytes are read at a time.
-const READ_BYTES: usize = 16 * 1024;
+/// The size of the buffer of one read.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 const MAX_HEADERS: usize = 32;
 const STATUS_OK: u16 = 200;
-/// A list of hundreds of stores fits well, and a snapshot with thousands of purges.
+/// The largest accepted response: a list of hundreds of stores or a snapshot with thousands of purges fits.
 const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
-/// The socket of a connection that another thread may shut, for good.
+/// Lets another thread shut down a connection, and prevents later ones.
 #[derive(Debug, Default)]
-pub(in crate::net) struct OpenSocket {
-    /// The descriptor; taken out before it is closed.
+pub(in crate::net) struct ShutdownHandle {
+    /// The descriptor of the open connection, removed before the connection closes it.
     socket: Mutex<Option<RawFd>>,
-    shut: AtomicBool,
+    is_shut_down: AtomicBool,
 }
 
-impl OpenSocket {
-    /// Shuts the connection that is open, and lets none be opened any more.
-    pub fn shut(&self) {
-        self.shut.store(true, Ordering::SeqCst);
+impl ShutdownHandle {
+    /// Shuts down the open connection and makes later attempts to open one fail.
+    pub fn shut_down(&self) {
+        self.is_shut_down.store(true, Ordering::SeqCst);
         if let Some(socket) = *lock(&self.socket) {
-            // SAFETY: the descriptor is open, as it is taken out under this lock before it is closed.
+            // SAFETY: the descriptor is open, as it is removed under this lock before it is closed.
             unsafe { libc::shutdown(socket, libc::SHUT_RDWR) };
         }
     }
 
-    pub fn is_shut(&self) -> bool {
-        self.shut.load(Ordering::SeqCst)
+    pub fn is_shut_down(&self) -> bool {
+        self.is_shut_down.load(Ordering::SeqCst)
     }
 }
 
@@ -49,51 +49,51 @@
 #[derive(Debug)]
 pub(in crate::net) struct Connection {
     stream: TcpStream,
-    open: Arc<OpenSocket>,
+    shutdown: Arc<ShutdownHandle>,
     counters: FeedCounters,
-    /// Reads fail after this instant.
+    /// Reads fail with `TimedOut` after this instant.
     deadline: Option<Instant>,
 }
 
 impl Connection {
-    /// Opens a connection on which each read and write waits for `timeout` at most.
+    /// Opens a connection on which each read and each write waits no longer than `timeout`.
     pub fn open(
-        open: &Arc<OpenSocket>,
+        shutdown: &Arc<ShutdownHandle>,
         counters: &FeedCounters,
         address: SocketAddr,
         timeout: Duration,
     ) -> io::Result<Connection> {
         let stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT.min(timeout))?;
-        *lock(&open.socket) = Some(stream.as_raw_fd());
+        *lock(&shutdown.socket) = Some(stream.as_raw_fd());
         let connection =
-            Connection { stream, open: open.clone(), counters: counters.clone(), deadline: None };
-        // It may have been shut just before the descriptor was stored.
-        if open.is_shut() {
+            Connection { stream, shutdown: shutdown.clone(), counters: counters.clone(), deadline: None };
+        // The handle may have been shut down just before the descriptor was stored.
+        if shutdown.is_shut_down() {
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
         set_nodelay(&connection.stream);
-        // Events count as received after a time, whether the other side is silent or not: a silent one is polled anew.
+        // An old list counts as current after a time even if the peer is silent, so a silent peer must be polled again.
         connection.stream.set_read_timeout(Some(timeout))?;
         connection.stream.set_write_timeout(Some(timeout))?;
         Ok(connection)
     }
 
-    /// The complete response must have been read by then, however slowly its bytes arrive.
+    /// Sets the instant by which the complete response must have been read, however slowly its bytes arrive.
     pub fn set_deadline(&mut self, deadline: Instant) {
         self.deadline = Some(deadline);
     }
 }
 
 impl Read for Connection {
-    fn read(&mut self, to: &mut [u8]) -> io::Result<usize> {
+    fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         if let Some(deadline) = self.deadline {
-            let left = deadline.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return Err(io::ErrorKind::TimedOut.into());
             }
-            self.stream.set_read_timeout(Some(left))?;
+            self.stream.set_read_timeout(Some(remaining))?;
         }
-        let read = self.stream.read(to)?;
+        let read = self.stream.read(buffer)?;
         self.counters.bytes_received.inc_by(read as u64);
         Ok(read)
     }
@@ -113,8 +113,8 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        let mut socket = lock(&self.open.socket);
-        // A later one may have taken the place.
+        let mut socket = lock(&self.shutdown.socket);
+        // A later connection may have stored its descriptor already.
         if *socket == Some(self.stream.as_raw_fd()) {
             *socket = None;
         }
@@ -125,7 +125,7 @@
 #[derive(Debug, PartialEq)]
 struct ResponseHead {
     status: u16,
-    /// Where the body starts.
+    /// The index of the body's first byte.
     body_start: usize,
     content_length: Option<usize>,
     is_chunked: bool,
@@ -133,7 +133,7 @@
     retry_after: Option<Duration>,
 }
 
-/// Parses a head. `None`: it is not complete yet.
+/// Parses the status line and headers. Returns `None` if they are not complete yet.
 fn parse_head(bytes: &[u8]) -> Result<Option<ResponseHead>, httparse::Error> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
@@ -162,12 +162,13 @@
     Ok(Some(head))
 }
 
-/// Parses a span in seconds, which may have a fraction.
+/// Parses a duration in seconds, which may have a fraction.
 fn parse_seconds(text: &str) -> Option<Duration> {
     Duration::try_from_secs_f64(text.parse().ok()?).ok()
 }
 
-/// Decodes a chunked body, and returns how many bytes it took. `None`: it is not complete yet.
+/// Decodes a chunked body, and returns it with the number of bytes that it occupied. Returns `None` if it is not complete
+/// yet.
 fn decode_chunked(mut bytes: &[u8]) -> Result<Option<(Vec<u8>, usize)>, httparse::InvalidChunkSize> {
     let (mut body, received) = (Vec::new(), bytes.len());
     loop {
@@ -189,27 +190,27 @@
     }
 }
 
-/// Why a response that was received can't be used.
+/// Why a received response is invalid.
 #[derive(Debug, Error)]
 pub(in crate::net) enum InvalidResponse {
-    /// Another status than was expected.
-    #[error("status {0}")]
+    /// The status is not 200.
+    #[error("expected status 200, received {0}")]
     Status(u16),
     #[error(transparent)]
     Head(#[from] httparse::Error),
-    #[error("{0}")]
+    #[error("invalid chunked body: {0}")]
     Chunk(httparse::InvalidChunkSize),
-    #[error("answer too large")]
+    #[error("response exceeds {} bytes", MAX_RESPONSE_BYTES)]
     TooLarge,
     /// The body is not the expected JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
 }
 
-/// Why a call has brought no response.
+/// Why a request failed to return a response.
 #[derive(Debug, Error)]
 pub(in crate::net) enum ResponseError {
-    /// The connection failed, or could not be opened.
+    /// The connection failed or could not be opened.
     #[error(transparent)]
     Io(#[from] io::Error),
     #[error(transparent)]
@@ -217,7 +218,7 @@
 }
 
 impl ResponseError {
-    /// Whether the call failed for want of descriptors.
+    /// Whether the request failed because the process is out of file descriptors.
     pub fn is_out_of_descriptors(&self) -> bool {
         matches!(self, ResponseError::Io(error) if out_of_descriptors(error))
     }
@@ -228,12 +229,13 @@
 pub(in crate::net) struct Response {
     pub status: u16,
     pub body: Vec<u8>,
-    /// Its connection can be used again.
+    /// Whether the connection can be reused.
     pub keep_alive: bool,
+    /// The pause that the server asks for before the next request.
     pub retry_after: Option<Duration>,
 }
 
-/// Reads one response; any status but 200 is an error.
+/// Reads one response; any status other than 200 is an error.
 pub(in crate::net) fn read_ok_response(
     stream: &mut impl Read,
     buffer: &mut Vec<u8>,
@@ -245,42 +247,43 @@
     }
 }
 
-/// Reads one response; `buffer` keeps the bytes that follow it.
+/// Reads one response of any status; `buffer` keeps the received bytes that follow it.
 pub(in crate::net) fn read_response(
     stream: &mut impl Read,
     buffer: &mut Vec<u8>,
 ) -> Result<Response, ResponseError> {
-    let mut piece = vec![0; READ_BYTES];
-    let mut has_ended = false;
+    let mut read_buffer = vec![0; READ_BUFFER_BYTES];
+    let mut end_of_stream = false;
     loop {
-        if let Some(response) = take_response(buffer, has_ended)? {
+        if let Some(response) = take_response(buffer, end_of_stream)? {
             return Ok(response);
         }
-        if has_ended {
+        if end_of_stream {
             return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into());
         }
         if buffer.len() > MAX_RESPONSE_BYTES {
             return Err(InvalidResponse::TooLarge.into());
         }
-        let read = stream.read(&mut piece)?;
-        buffer.extend_from_slice(&piece[..read]);
-        has_ended = read == 0;
+        let read = stream.read(&mut read_buffer)?;
+        buffer.extend_from_slice(&read_buffer[..read]);
+        end_of_stream = read == 0;
     }
 }
 
-/// Takes the first response out of the received bytes. `None`: it is not complete yet. `has_ended`: no more bytes come.
-fn take_response(buffer: &mut Vec<u8>, has_ended: bool) -> Result<Option<Response>, InvalidResponse> {
+/// Removes the first response from the received bytes. Returns `None` if it is not complete yet. `end_of_stream` says that
+/// no more bytes will follow.
+fn take_response(buffer: &mut Vec<u8>, end_of_stream: bool) -> Result<Option<Response>, InvalidResponse> {
     let Some(head) = parse_head(buffer)? else { return Ok(None) };
-    let rest = &buffer[head.body_start..];
+    let body_bytes = &buffer[head.body_start..];
     let body = match head.content_length {
-        _ if head.is_chunked => decode_chunked(rest).map_err(InvalidResponse::Chunk)?,
-        Some(length) => (rest.len() >= length).then(|| (rest[..length].to_vec(), length)),
-        None => has_ended.then(|| (rest.to_vec(), rest.len())),
+        _ if head.is_chunked => decode_chunked(body_bytes).map_err(InvalidResponse::Chunk)?,
+        Some(length) => (body_bytes.len() >= length).then(|| (body_bytes[..length].to_vec(), length)),
+        None => end_of_stream.then(|| (body_bytes.to_vec(), body_bytes.len())),
     };
-    let Some((body, body_bytes)) = body else { return Ok(None) };
-    buffer.drain(..head.body_start + body_bytes);
+    let Some((body, body_length)) = body else { return Ok(None) };
+    buffer.drain(..head.body_start + body_length);
     let ResponseHead { status, keep_alive, retry_after, .. } = head;
-    Ok(Some(Response { status, body, keep_alive: keep_alive && !has_ended, retry_after }))
+    Ok(Some(Response { status, body, keep_alive: keep_alive && !end_of_stream, retry_after }))
 }
 
 #[cfg(test)]
