--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,7 +1,7 @@
 //! The monotonic clock by which everything is decided, and the wall clock's readings beside it.
 
 use crate::interface::Micros;
-use crate::net::discovery::event_times::Reading;
+use crate::net::discovery::event_times::ClockReading;
 use std::time::Instant;
 
 /// The monotonic clock does not start at 0, so that starts and purges of before the process have a place.
@@ -45,8 +45,8 @@
     }
 
     /// Both clocks now.
-    pub fn reading(&self) -> Reading {
-        Reading { monotonic: self.now(), wall: sagearch_clock::unix_micros() }
+    pub fn reading(&self) -> ClockReading {
+        ClockReading { monotonic: self.now(), wall: sagearch_clock::unix_micros() }
     }
 }
 
--- a/src/net/discovery/event_times.rs
+++ b/src/net/discovery/event_times.rs
@@ -37,7 +37,7 @@
 
 /// Both clocks at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Reading {
+pub struct ClockReading {
     /// Microseconds of the process's monotonic clock.
     pub monotonic: Micros,
     /// Microseconds since the Unix epoch.
@@ -66,7 +66,12 @@
 impl EventTimes {
     /// Records an answer, or at first the events of the configuration. `stamps`: for each event the latest time that it
     /// states. A snapshot repeats events of any age.
-    pub fn answer(&mut self, now: Reading, snapshot: bool, stamps: &[Option<UnixMillis>]) -> AnswerTimes {
+    pub fn answer(
+        &mut self,
+        now: ClockReading,
+        snapshot: bool,
+        stamps: &[Option<UnixMillis>],
+    ) -> AnswerTimes {
         let wall = self.earliest_wall(now);
         let previous = match self.previous {
             Previous::None => Previous::Configuration,
@@ -88,7 +93,7 @@
     }
 
     /// The wall clock now, without the steps forward that were seen since the start.
-    fn earliest_wall(&mut self, now: Reading) -> Micros {
+    fn earliest_wall(&mut self, now: ClockReading) -> Micros {
         let lead = i128::from(now.wall) - i128::from(now.monotonic);
         let smallest = self.smallest_lead.map_or(lead, |smallest| smallest.min(lead));
         self.smallest_lead = Some(smallest);
--- a/src/net/discovery/event_times/tests.rs
+++ b/src/net/discovery/event_times/tests.rs
@@ -10,8 +10,8 @@
 const STORE: MemberId = MemberId(7);
 
 /// The clocks of a gateway, read some time after the test's begin.
-fn reading(after: i64, step: i64) -> Reading {
-    Reading { monotonic: (BEGIN + after) as Micros, wall: (EPOCH + after + step) as Micros }
+fn reading(after: i64, step: i64) -> ClockReading {
+    ClockReading { monotonic: (BEGIN + after) as Micros, wall: (EPOCH + after + step) as Micros }
 }
 
 /// What a clock that was stepped stamps.
--- a/src/net/discovery/feed.rs
+++ b/src/net/discovery/feed.rs
@@ -47,7 +47,7 @@
 }
 
 /// The lease of a gateway that has just started and has had no answer yet.
-pub fn first_lease(relays: &FeedConfig, now: Micros) -> Lease {
+pub fn initial_lease(relays: &FeedConfig, now: Micros) -> Lease {
     Lease::new(relays.lease * MILLISECOND, relays.drift, now)
 }
 
--- a/src/net/lifecycle/control_side.rs
+++ b/src/net/lifecycle/control_side.rs
@@ -138,7 +138,7 @@
     /// Starts with a freshness lease that has expired, where purges come from relays: nothing is known of them yet.
     fn start_freshness_lease(&self) {
         if let Some(relays) = &self.operators.feed {
-            let (lease, revalidations) = (feed::first_lease(relays, self.clock.now()), relays.revalidate);
+            let (lease, revalidations) = (feed::initial_lease(relays, self.clock.now()), relays.revalidate);
             self.broker().renew_freshness(self.clock.now(), lease, revalidations);
         }
     }
