--- a/src/net/discovery/event_times.rs
+++ b/src/net/discovery/event_times.rs
@@ -1,41 +1,42 @@
-//! When purges were made and stores were started, on this process's monotonic clock.
+//! Estimates when purges were made and stores were started, on this process's monotonic clock.
 //!
-//! Events carry Unix times stamped by other machines, and the wall clock of any machine may be stepped. So a stamp counts only
-//! as far as a second source confirms it, and an event is otherwise assumed to have just happened. If a purge is assumed too
-//! late, some copies are fetched again; if a start is, its slow start lasts longer. If a purge were assumed too early,
-//! purged copies could be served, and a cold store could be overloaded.
+//! Events carry Unix time stamps of other machines, and the wall clock of any machine may be stepped. So a time stamp is
+//! trusted only as far as a second source confirms it; otherwise the event is assumed to have just happened. An estimate
+//! that is too late only costs some repeated fetches after a purge, or a longer slow start of a store. An estimate that is
+//! too early could let purged copies be served, or a cold store be overloaded.
 //!
-//! An event's age is the smallest of:
+//! The age of an event is estimated as the smallest of:
 //!
-//! - the time from its stamp to the latest stamp of a later event of the same answer, by the clocks of the stamping machines.
-//!   That is too much only if those were stepped forward in between;
-//! - its age by this machine's wall clock, read with the smallest lead over the monotonic clock seen so far, so that a
-//!   step forward in service changes nothing;
-//! - the time since the previous answer, if there was one.
+//! - the time from its time stamp to the latest time stamp of the events from it to the end of the batch, by the clocks of
+//!   the stamping machines. This is too long only if those clocks were stepped forward in between;
+//! - its age by this machine's wall clock, corrected to the smallest lead over the monotonic clock seen so far, so that a
+//!   step forward after the start has no effect;
+//! - the time since the previous poll response, if there was one.
 //!
-//! At the start there is no previous answer. Stores that are listed then may have been running for long, so their starts are
-//! taken from the wall clock where the latest stamp agrees with it.
+//! When the gateway starts there is no previous response. Stores that are listed then may have been running for long, so
+//! their start times are taken from the wall clock if the latest time stamp agrees with it.
 //!
-//! The module does no I/O and reads no clock.
+//! The module performs no I/O and reads no clock.
 
 mod starts;
 
-pub use starts::StoreStarts;
+pub use starts::StoreStartTimes;
 
 use crate::interface::Micros;
 use sagearch_feed::MILLISECOND;
 
-/// A Unix time in milliseconds, as in events; 0: none is stated.
+/// A Unix time in milliseconds, as in events; 0 if none is stated.
 pub type UnixMillis = u64;
 
-/// Wall clocks are stepped by up to an hour. A start that lies further back than this is past any slow start even so.
-const MAX_CLOCK_STEPS: Micros = 2 * 3_600 * 1_000_000;
-/// The wall clock is trusted if the latest of all stamps is no older than this.
-const AGREEMENT_WINDOW: Micros = 3_000_000;
-/// A stamp further ahead of the wall clock than this is ignored as a sign of the present time.
-const MAX_SKEW: Micros = 1_000_000;
+/// The largest total error of two wall clocks, each of which may be stepped by up to an hour. A store whose start lies
+/// further back than this is past its slow start even then.
+const MAX_CLOCK_STEPS_MICROS: Micros = 2 * 3_600 * 1_000_000;
+/// The wall clock is trusted if the latest of all time stamps is no older than this.
+const AGREEMENT_WINDOW_MICROS: Micros = 3_000_000;
+/// A time stamp further ahead of the wall clock than this is not used as evidence of the current time.
+const MAX_SKEW_MICROS: Micros = 1_000_000;
 
-/// Both clocks at one moment.
+/// A simultaneous reading of the monotonic clock and the wall clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClockReading {
     /// Microseconds of the process's monotonic clock.
@@ -44,55 +45,58 @@
     pub wall: Micros,
 }
 
-/// The previous answer.
+/// The batch that was recorded last.
 #[derive(Clone, Copy, Debug, Default)]
-enum Previous {
+enum PreviousBatch {
     #[default]
     None,
     /// The events of the configuration, which may be of any age.
     Configuration,
-    /// An answer to a poll, at this time of the monotonic clock.
-    Answered(Micros),
+    /// The response to a poll, received at this time of the monotonic clock.
+    PollResponse(Micros),
 }
 
-/// Judges the ages of events, answer by answer.
+/// Estimates the ages of events, batch by batch.
 #[derive(Debug, Default)]
-pub struct EventTimes {
-    previous: Previous,
-    /// The smallest lead of the wall clock over the monotonic clock that was seen; negative where it is behind.
+pub struct EventAgeEstimator {
+    previous: PreviousBatch,
+    /// The smallest lead of the wall clock over the monotonic clock seen so far; negative if the wall clock is behind.
     smallest_lead: Option<i128>,
 }
 
-impl EventTimes {
-    /// Records an answer, or at first the events of the configuration. `stamps`: for each event the latest time that it
-    /// states. A snapshot repeats events of any age.
-    pub fn answer(
+impl EventAgeEstimator {
+    /// Records a batch: first the events of the configuration, then poll responses. `stamps` holds the latest time stamp of
+    /// each event. A snapshot repeats events of any age.
+    pub fn record_batch(
         &mut self,
         now: ClockReading,
         snapshot: bool,
         stamps: &[Option<UnixMillis>],
-    ) -> AnswerTimes {
+    ) -> BatchAges {
         let wall = self.earliest_wall(now);
         let previous = match self.previous {
-            Previous::None => Previous::Configuration,
-            Previous::Configuration | Previous::Answered(_) => Previous::Answered(now.monotonic),
+            PreviousBatch::None => PreviousBatch::Configuration,
+            PreviousBatch::Configuration | PreviousBatch::PollResponse(_) => {
+                PreviousBatch::PollResponse(now.monotonic)
+            }
         };
-        let answered = match std::mem::replace(&mut self.previous, previous) {
-            Previous::Answered(at) if !snapshot => Some(at),
+        let previous_response = match std::mem::replace(&mut self.previous, previous) {
+            PreviousBatch::PollResponse(received_at) if !snapshot => Some(received_at),
             _ => None,
         };
-        let latest_from = latest_from(stamps, wall.saturating_add(MAX_SKEW));
-        let latest = latest_from.first().copied().unwrap_or(0);
-        AnswerTimes {
+        let latest_stamps = latest_stamps_from(stamps, wall.saturating_add(MAX_SKEW_MICROS));
+        let latest = latest_stamps.first().copied().unwrap_or(0);
+        BatchAges {
             wall,
-            wall_agrees: answered.is_none() && wall.saturating_sub(latest) <= AGREEMENT_WINDOW,
-            max_age: answered.map(|at| now.monotonic.saturating_sub(at)),
+            wall_agrees: previous_response.is_none()
+                && wall.saturating_sub(latest) <= AGREEMENT_WINDOW_MICROS,
+            max_age: previous_response.map(|received_at| now.monotonic.saturating_sub(received_at)),
             snapshot,
-            latest_from,
+            latest_stamps,
         }
     }
 
-    /// The wall clock now, without the steps forward that were seen since the start.
+    /// The wall clock's current time without the forward steps seen since the start.
     fn earliest_wall(&mut self, now: ClockReading) -> Micros {
         let lead = i128::from(now.wall) - i128::from(now.monotonic);
         let smallest = self.smallest_lead.map_or(lead, |smallest| smallest.min(lead));
@@ -101,70 +105,70 @@
     }
 }
 
-/// For each event the latest stamp of it and of those that follow, without stamps after `until`.
-fn latest_from(stamps: &[Option<UnixMillis>], until: Micros) -> Vec<Micros> {
+/// Returns for each event the latest time stamp of it and the events that follow, ignoring time stamps after `until`.
+fn latest_stamps_from(stamps: &[Option<UnixMillis>], until: Micros) -> Vec<Micros> {
     let mut latest = 0;
-    let mut from: Vec<Micros> = Vec::with_capacity(stamps.len());
+    let mut latest_stamps: Vec<Micros> = Vec::with_capacity(stamps.len());
     for stamp in stamps.iter().rev() {
-        let stamp = stamp.map_or(0, micros_of);
+        let stamp = stamp.map_or(0, to_micros);
         if stamp <= until {
             latest = latest.max(stamp);
         }
-        from.push(latest);
+        latest_stamps.push(latest);
     }
-    from.reverse();
-    from
+    latest_stamps.reverse();
+    latest_stamps
 }
 
-fn micros_of(stamp: UnixMillis) -> Micros {
+fn to_micros(stamp: UnixMillis) -> Micros {
     stamp.saturating_mul(MILLISECOND)
 }
 
-/// By which the ages of one answer's events are judged.
+/// Estimates the ages of the events of one batch.
 #[derive(Debug)]
-pub struct AnswerTimes {
-    /// The earliest time that the wall clock may show.
+pub struct BatchAges {
+    /// The wall clock's time without the forward steps seen since the start.
     wall: Micros,
-    /// No previous answer bounds the ages, and the latest stamp confirms the wall clock.
+    /// Whether the latest time stamp confirms the wall clock. Only set if no previous response bounds the ages.
     wall_agrees: bool,
-    /// The time since the previous answer, by which no event can be older; `None`: nothing bounds that.
+    /// The time since the previous poll response, which bounds the age of each event; `None` if nothing bounds it.
     max_age: Option<Micros>,
     snapshot: bool,
-    /// For each event the latest stamp of it and of those that follow.
-    latest_from: Vec<Micros>,
+    /// For each event the latest time stamp of it and the events that follow.
+    latest_stamps: Vec<Micros>,
 }
 
-impl AnswerTimes {
-    /// How long ago a purge was made at least. `event`: its index in the answer.
-    pub fn purge_age(&self, event: usize, made: UnixMillis) -> Micros {
-        // Where nothing bounds the ages, few purges are in force, and repeating their fetches costs little. A snapshot is
-        // different: its combined purges invalidate whole slices of the hash space.
-        let bounded = self.max_age.is_some() || self.snapshot;
-        if bounded && made > 0 { self.confirmed_age(event, made) } else { 0 }
+impl BatchAges {
+    /// The minimum age of a purge. `event_index` is the index of its event in the batch.
+    pub fn purge_age(&self, event_index: usize, made: UnixMillis) -> Micros {
+        // If nothing bounds the ages, few purges are active, and repeating their fetches costs little. In a snapshot the
+        // combined purges invalidate whole slices of the hash space, so their ages are estimated.
+        let is_estimated = self.max_age.is_some() || self.snapshot;
+        if is_estimated && made > 0 { self.confirmed_age(event_index, made) } else { 0 }
     }
 
-    /// How long ago a store that was not listed before was started at least. It may have been running for long.
-    pub fn new_store_age(&self, event: usize, started: UnixMillis) -> Micros {
+    /// The minimum time since the start of a store that was not listed before, and may have been running for long.
+    pub fn new_store_age(&self, event_index: usize, started: UnixMillis) -> Micros {
         if self.wall_agrees {
             return self.wall_age(started);
         }
-        let beyond_any_step = self.wall_age(started).saturating_sub(MAX_CLOCK_STEPS);
-        self.confirmed_age(event, started).max(beyond_any_step)
+        let age_despite_steps = self.wall_age(started).saturating_sub(MAX_CLOCK_STEPS_MICROS);
+        self.confirmed_age(event_index, started).max(age_despite_steps)
     }
 
-    /// How long ago a store that was listed before was restarted at least.
-    pub fn restart_age(&self, event: usize, started: UnixMillis) -> Micros {
-        self.confirmed_age(event, started)
+    /// The minimum time since the restart of a store that was listed before.
+    pub fn restart_age(&self, event_index: usize, started: UnixMillis) -> Micros {
+        self.confirmed_age(event_index, started)
     }
 
-    fn confirmed_age(&self, event: usize, stamp: UnixMillis) -> Micros {
-        let latest = self.latest_from.get(event).copied().unwrap_or(0);
-        let by_stamps = latest.saturating_sub(micros_of(stamp));
-        by_stamps.min(self.wall_age(stamp)).min(self.max_age.unwrap_or(Micros::MAX))
+    fn confirmed_age(&self, event_index: usize, stamp: UnixMillis) -> Micros {
+        let latest = self.latest_stamps.get(event_index).copied().unwrap_or(0);
+        let age_by_stamps = latest.saturating_sub(to_micros(stamp));
+        age_by_stamps.min(self.wall_age(stamp)).min(self.max_age.unwrap_or(Micros::MAX))
     }
 
     fn wall_age(&self, stamp: UnixMillis) -> Micros {
-        self.wall.saturating_sub(micros_of(stamp))
+        self.wall.saturating_sub(to_micros(stamp))
     }
 }
 
--- a/src/net/discovery/event_times/starts.rs
+++ b/src/net/discovery/event_times/starts.rs
@@ -1,61 +1,63 @@
-//! When each listed store was started. A start that is stated again keeps its time, whatever the clocks show later.
+//! Start times of the listed stores. A start that is listed again keeps its estimated time, whatever the clocks show
+//! later.
 
-use super::{AnswerTimes, UnixMillis};
+use super::{BatchAges, UnixMillis};
 use crate::interface::{MemberId, Micros};
 use std::collections::BTreeMap;
 
-/// How many stores are remembered. Beyond that, the one that was listed longest ago is forgotten.
+/// The maximum number of stores whose start is kept. Beyond it, the store that was listed longest ago is removed.
 const MAX_STORES: usize = 16_384;
 
 #[derive(Clone, Copy, Debug)]
-struct Start {
-    /// As the list states it.
+struct StartRecord {
+    /// The start time in the endpoint list.
     stated: UnixMillis,
-    /// On the monotonic clock; `None`: long ago.
-    at: Option<Micros>,
-    /// When it was last listed.
-    listed: Micros,
+    /// The start time on the monotonic clock; `None` if before the clock's origin.
+    started_at: Option<Micros>,
+    /// The time of the latest endpoint list that contained the store.
+    last_listed_at: Micros,
 }
 
-/// The starts of the listed stores.
+/// The start times of the listed stores.
 #[derive(Debug, Default)]
-pub struct StoreStarts {
-    by_store: BTreeMap<MemberId, Start>,
+pub struct StoreStartTimes {
+    by_store: BTreeMap<MemberId, StartRecord>,
 }
 
-impl StoreStarts {
-    /// When a store that an answer lists `now` was started; `None`: long ago. `stated` is the time that the list states,
-    /// `event` the index of the list in the answer.
-    pub fn started(
+impl StoreStartTimes {
+    /// The start time of a listed store on the monotonic clock; `None` (long ago) if it is not stated or lies before the
+    /// clock's origin. `stated` is the start time in the list, `event_index` the index of the list in the batch.
+    pub fn start_time(
         &mut self,
         now: Micros,
         store: MemberId,
         stated: UnixMillis,
-        answer: &AnswerTimes,
-        event: usize,
+        ages: &BatchAges,
+        event_index: usize,
     ) -> Option<Micros> {
         if stated == 0 {
             return None;
         }
         let known = self.by_store.get(&store).copied();
-        let at = match known {
-            Some(known) if known.stated == stated => known.at,
-            // A restart is always later than the previous start.
+        let started_at = match known {
+            Some(known) if known.stated == stated => known.started_at,
+            // A restart is always later than the previous start, whatever the clocks show.
             Some(known) => {
-                let at = now.checked_sub(answer.restart_age(event, stated));
-                at.max(known.at.map(|before| before + 1))
+                let estimate = now.checked_sub(ages.restart_age(event_index, stated));
+                estimate.max(known.started_at.map(|previous| previous + 1))
             }
-            None => now.checked_sub(answer.new_store_age(event, stated)),
+            None => now.checked_sub(ages.new_store_age(event_index, stated)),
         };
-        self.by_store.insert(store, Start { stated, at, listed: now });
+        self.by_store.insert(store, StartRecord { stated, started_at, last_listed_at: now });
         if self.by_store.len() > MAX_STORES {
-            self.forget_oldest();
+            self.remove_oldest();
         }
-        at
+        started_at
     }
 
-    fn forget_oldest(&mut self) {
-        let oldest = self.by_store.iter().min_by_key(|(_, start)| start.listed).map(|(store, _)| *store);
+    fn remove_oldest(&mut self) {
+        let oldest =
+            self.by_store.iter().min_by_key(|(_, start)| start.last_listed_at).map(|(store, _)| *store);
         if let Some(store) = oldest {
             self.by_store.remove(&store);
         }
--- a/src/net/discovery/feed.rs
+++ b/src/net/discovery/feed.rs
@@ -1,7 +1,7 @@
-//! Follows the event feed over relays: sends the polls that [`sagearch_feed::subscription`] asks for, applies the events of
-//! their answers, and renews the freshness lease.
+//! Polls relays of the event feed: sends the polls that [`sagearch_feed::subscription`] requests, applies the received
+//! events, and renews the freshness lease.
 //!
-//! The order is: events applied, then the lease renewed, then the next poll, which acknowledges them.
+//! Events are applied first, then the lease is renewed, then the next poll is sent, which acknowledges the events.
 
 use crate::events::Batch;
 use crate::interface::Micros;
@@ -25,28 +25,28 @@
 
 const STATUS_OK: u16 = 200;
 const STATUS_SERVICE_UNAVAILABLE: u16 = 503;
-/// The longest sleep between two checks of whether the feed is stopped.
+/// The maximum pause between two checks of whether the feed is stopped.
 const MAX_SLEEP: Duration = Duration::from_millis(50);
 
-/// The parts and settings of a follower of relays.
+/// The components and settings of a follower that polls relays.
 pub struct RelayFollowerConfig {
-    /// How far the bus has been followed.
+    /// The gateway's state of the event feed.
     pub feed: Arc<Feed>,
-    /// Where events are applied.
+    /// The sink that applies the events.
     pub sink: Arc<dyn EventSink>,
     /// The gateway's clock.
     pub clock: Clock,
     /// The gateway's name.
     pub name: String,
-    /// Which process of the gateway this is.
+    /// The incarnation of the gateway; higher after each restart.
     pub incarnation: u64,
     /// Seeds the jitter of the polls.
     pub seed: u64,
-    /// What the operators' file states of the relays.
+    /// The relay section of the operators' file.
     pub relays: FeedConfig,
 }
 
-/// The lease of a gateway that has just started and has had no answer yet.
+/// The lease of a gateway that has just started and has received no response.
 pub fn initial_lease(relays: &FeedConfig, now: Micros) -> Lease {
     Lease::new(relays.lease * MILLISECOND, relays.drift, now)
 }
@@ -63,7 +63,7 @@
     }
 }
 
-/// Follows the relays until the feed is stopped. `running` is dropped then.
+/// Starts a follower that polls the relays until the feed is stopped, and drops `running` then.
 pub fn follow(config: RelayFollowerConfig, running: Permit) {
     let subscription = Subscription::new(subscription_settings(&config), config.seed, config.clock.now());
     let RelayFollowerConfig { feed, sink, clock, relays, .. } = config;
@@ -83,13 +83,15 @@
     });
 }
 
-/// An open connection to a relay, and the bytes received on it of the next answer.
+/// An open connection to a relay, with the received bytes of the next response.
 struct RelayConnection {
+    /// The index of the relay in the configuration.
     relay: usize,
     connection: Connection,
     buffer: Vec<u8>,
 }
 
+/// Polls the relays of the configuration.
 struct Follower {
     feed: Arc<Feed>,
     sink: Arc<dyn EventSink>,
@@ -98,7 +100,7 @@
     revalidations: u32,
     subscription: Subscription,
     connection: Option<RelayConnection>,
-    /// A failure is logged once, not once for each attempt.
+    /// Whether the last poll failed. Only the first of consecutive failures is logged.
     is_failing: bool,
 }
 
@@ -117,12 +119,12 @@
     }
 
     fn poll(&mut self, relay: usize, poll: &Poll, timeout: Micros) {
-        let sent = self.clock.now();
-        let answer = self.send_poll(relay, poll, Duration::from_micros(timeout));
+        let sent_at = self.clock.now();
+        let response_body = self.send_poll(relay, poll, Duration::from_micros(timeout));
         if self.feed.is_stopped() {
             return;
         }
-        match answer.and_then(|body| self.apply_answer(sent, &body)) {
+        match response_body.and_then(|body| self.apply_response(sent_at, &body)) {
             Ok(()) => self.record_success(relay),
             Err(error) => {
                 self.record_failure(relay, &error);
@@ -133,15 +135,15 @@
         }
     }
 
-    /// Sends a poll and reads its complete answer.
+    /// Sends a poll and returns the body of the complete response.
     fn send_poll(&mut self, relay: usize, poll: &Poll, timeout: Duration) -> Result<Vec<u8>, PollError> {
         let deadline = Instant::now() + timeout;
         let Some(address) = self.relays.get(relay).map(|relay| relay.address) else {
             return Err(PollFailure::Unreachable.into());
         };
-        let open = self.connection.take().filter(|connection| connection.relay == relay);
-        let reused = open.is_some();
-        let mut connection = match open {
+        let open_connection = self.connection.take().filter(|connection| connection.relay == relay);
+        let reused = open_connection.is_some();
+        let mut connection = match open_connection {
             Some(connection) => connection,
             None => self.connect(relay, address, timeout)?,
         };
@@ -150,7 +152,7 @@
         if response.keep_alive {
             self.connection = Some(connection);
         }
-        body_of(response)
+        response_body(response)
     }
 
     fn connect(
@@ -161,8 +163,8 @@
     ) -> Result<RelayConnection, PollError> {
         match self.feed.connect(address, timeout) {
             Ok(connection) => Ok(RelayConnection { relay, connection, buffer: Vec::new() }),
-            Err(e) => {
-                if crate::net::out_of_descriptors(&e) {
+            Err(error) => {
+                if crate::net::out_of_descriptors(&error) {
                     self.sink.out_of_descriptors();
                 }
                 Err(PollFailure::Unreachable.into())
@@ -170,16 +172,16 @@
         }
     }
 
-    /// Applies an answer's events, and then renews the freshness lease.
-    fn apply_answer(&mut self, sent: Micros, body: &[u8]) -> Result<(), PollError> {
+    /// Applies the events of a response, and then renews the freshness lease.
+    fn apply_response(&mut self, sent_at: Micros, body: &[u8]) -> Result<(), PollError> {
         let head: Head = serde_json::from_slice(body).map_err(InvalidResponse::from)?;
         let batch: Batch = serde_json::from_slice(body).map_err(InvalidResponse::from)?;
-        let new = match self.subscription.poll_answered(self.clock.now(), sent, &head)? {
+        let new_batch = match self.subscription.poll_answered(self.clock.now(), sent_at, &head)? {
             AcceptedAnswer::NoNewEvents => None,
             AcceptedAnswer::NewEvents { after } => Some(batch.after(after)),
             AcceptedAnswer::Snapshot => Some(batch),
         };
-        if let Some(batch) = new
+        if let Some(batch) = new_batch
             && !self.feed.apply_batch(&*self.sink, batch)
         {
             return Ok(());
@@ -197,37 +199,37 @@
     fn record_success(&mut self, relay: usize) {
         self.feed.counters.answers.inc();
         if std::mem::take(&mut self.is_failing) {
-            log::info!("event feed: relay {:?} answers", self.relay_name(relay));
+            log::info!("event feed: connected again to relay {:?}", self.relay_name(relay));
         }
         self.feed.set_last_failure(None);
     }
 
     fn record_failure(&mut self, relay: usize, error: &PollError) {
         self.feed.counters.failed_calls.inc();
-        let text = format!("relay {:?}: {error}", self.relay_name(relay));
+        let cause = format!("relay {:?}: {error}", self.relay_name(relay));
         if !std::mem::replace(&mut self.is_failing, true) {
-            log::warn!("event feed: {text}; asking on");
+            log::warn!("event feed: poll failed; retrying: {cause}");
         }
-        self.feed.set_last_failure(Some(text));
+        self.feed.set_last_failure(Some(cause));
     }
 }
 
-/// Why a poll has brought no events.
+/// Why a poll failed, or its response could not be applied.
 #[derive(Debug, Error)]
 enum PollError {
-    /// No complete answer came.
+    /// No complete response was received.
     #[error(transparent)]
     Failed(#[from] PollFailure),
-    /// An answer came and can't be used.
-    #[error("its answer can't be used: {0}")]
+    /// The response is invalid.
+    #[error("invalid response: {0}")]
     InvalidAnswer(#[from] InvalidResponse),
-    /// The answer does not fit the subscription's state. The subscription has moved on already.
+    /// The subscription rejected the response as inconsistent with its state, and has already chosen its next step.
     #[error(transparent)]
     Rejected(#[from] RejectedAnswer),
 }
 
 impl PollError {
-    /// The failure as the subscription counts it; `None` if it rejected the answer itself.
+    /// The failure to report to the subscription; `None` if the subscription itself rejected the response.
     fn failure(&self) -> Option<PollFailure> {
         match self {
             PollError::Failed(failure) => Some(*failure),
@@ -250,7 +252,8 @@
     read_response(&mut connection.connection, &mut connection.buffer)
 }
 
-fn body_of(response: Response) -> Result<Vec<u8>, PollError> {
+/// Returns the body of a response with status 200, and an error for any other status.
+fn response_body(response: Response) -> Result<Vec<u8>, PollError> {
     match response.status {
         STATUS_OK => Ok(response.body),
         STATUS_SERVICE_UNAVAILABLE => {
@@ -261,7 +264,8 @@
     }
 }
 
-/// What became of a poll on a connection that earlier polls may have used.
+/// Classifies the error of a poll. `reused` says that earlier polls used the connection, which the relay may have closed
+/// since.
 fn poll_error(error: ResponseError, reused: bool) -> PollError {
     let error = match error {
         ResponseError::Invalid(error) => return error.into(),
--- a/src/net/discovery/staleness.rs
+++ b/src/net/discovery/staleness.rs
@@ -1,26 +1,26 @@
-//! Log lines and counters for operators about the time during which a gateway's freshness lease is expired (*in doubt*, in
-//! the texts and metrics that operators read).
+//! Logs and counts the time during which a gateway's freshness lease is expired, which log lines and metrics call
+//! *in doubt*.
 
 use crate::broker::FreshnessReport;
 use crate::interface::{Micros, seconds};
 use crate::metrics::StalenessCounters;
 use sagearch_feed::MILLISECOND as MICROS_PER_MILLISECOND;
 
-/// Turns reports of a gateway's freshness into log lines and counters.
+/// Logs and counts changes between consecutive freshness reports of a gateway.
 #[derive(Debug, Default)]
 pub(in crate::net) struct StalenessMonitor {
-    /// Since when the lease is expired.
+    /// When the lease was first reported as expired; `None` if it is valid.
     expired_since: Option<Micros>,
-    /// Up to when the expired time has been counted.
+    /// The end of the period that has been counted.
     counted_until: Micros,
-    /// Attempts that were withheld, as of the last report.
-    withheld: u64,
-    /// Requests that were refused, as of the last report.
+    /// The number of unsent attempts in the last report.
+    unsent: u64,
+    /// The number of refused requests in the last report.
     refused: u64,
 }
 
 impl StalenessMonitor {
-    /// Records a report; to be called at each tick. `cause` says why the lease is not renewed.
+    /// Records a report; must be called at each tick. `cause` returns why the lease is not renewed.
     pub fn record(
         &mut self,
         now: Micros,
@@ -28,9 +28,9 @@
         cause: impl FnOnce() -> String,
         counters: &StalenessCounters,
     ) {
-        counters.unsent.inc_by(report.unsent.saturating_sub(self.withheld));
+        counters.unsent.inc_by(report.unsent.saturating_sub(self.unsent));
         counters.refused.inc_by(report.refused.saturating_sub(self.refused));
-        (self.withheld, self.refused) = (report.unsent, report.refused);
+        (self.unsent, self.refused) = (report.unsent, report.refused);
         if self.expired_since.is_some() {
             counters.seconds.inc_by(seconds(now.saturating_sub(self.counted_until)));
         }
@@ -43,19 +43,23 @@
             }
             (Some(since), false) => {
                 self.expired_since = None;
-                let lasted = now.saturating_sub(since) / MICROS_PER_MILLISECOND;
-                log::info!("event feed: no longer in doubt, after {lasted} ms");
+                let expired_millis = now.saturating_sub(since) / MICROS_PER_MILLISECOND;
+                log::info!("event feed: no longer in doubt, after {expired_millis} ms");
             }
             _ => {}
         }
     }
 }
 
+/// Describes how old the state that the lease confirms is.
 fn age_text(now: Micros, as_of: Option<Micros>) -> String {
     match as_of {
         Some(as_of) => {
-            format!("as what is known is {} ms old", now.saturating_sub(as_of) / MICROS_PER_MILLISECOND)
+            format!(
+                "the last confirmed state is {} ms old",
+                now.saturating_sub(as_of) / MICROS_PER_MILLISECOND
+            )
         }
-        None => "as nothing has been heard yet".into(),
+        None => "no response received yet".into(),
     }
 }
