--- a/src/events.rs
+++ b/src/events.rs
@@ -115,8 +115,8 @@
 }
 
 impl Instance {
-    /// Converts the endpoint into a member for the policies; `started` is its start time on the monotonic clock. An unknown
-    /// state counts as gone: new requests are sent only to endpoints that are reported to serve.
+    /// Converts the endpoint into a member for the policies; `started` is its start time on the monotonic clock. An
+    /// unknown state counts as gone: new requests are sent only to endpoints that are reported to serve.
     pub fn member(&self, names: &Names, started: Option<Micros>) -> Member {
         Member {
             id: member_id(&self.instance_id),
@@ -154,8 +154,8 @@
     pub slices: Option<u32>,
 }
 
-/// Derives the id of a store from its name, the same at every gateway: the hexadecimal number at the end of the name, or
-/// else a hash of the name.
+/// Derives the id of a store from its name, the same at every gateway: the hexadecimal number at the end of the name,
+/// or else a hash of the name.
 pub fn member_id(name: &str) -> MemberId {
     let suffix = name.rsplit('-').next().unwrap_or(name);
     let add_byte = |hash: u32, byte: u8| (hash ^ u32::from(byte)).wrapping_mul(FNV_PRIME);
--- a/src/net/discovery/bus.rs
+++ b/src/net/discovery/bus.rs
@@ -17,8 +17,8 @@
 /// How long the bus may hold a poll without events. Short, so that a silent bus is polled again long before 7 s have
 /// passed, after which an old list counts as current.
 const POLL_HOLD_MILLIS: u64 = 1_000;
-/// How long beyond the hold time the gateway waits for a silent bus before it reconnects. Jitter of up to the same length
-/// is added, as all gateways lose the bus at the same instant and must not reconnect at once.
+/// How long beyond the hold time the gateway waits for a silent bus before it reconnects. Jitter of up to the same
+/// length is added, as all gateways lose the bus at the same instant and must not reconnect at once.
 const SILENCE_MARGIN_MILLIS: u64 = 300;
 /// The initial backoff after a failed connection; it doubles up to [`MAX_BACKOFF_MILLIS`].
 const MIN_BACKOFF_MILLIS: u64 = 20;
@@ -62,7 +62,7 @@
     /// The offset of the last applied event.
     last_offset: Mutex<u64>,
     /// The number of the latest follower; earlier ones end after their pending poll.
-    follower: AtomicU64,
+    latest_follower: AtomicU64,
     /// Whether the first batch of events has been applied.
     caught_up: AtomicBool,
     /// Shuts down the open connection when the feed is stopped; no poll is sent and no event applied after that.
@@ -142,12 +142,12 @@
     feed.apply(sink, batch);
 }
 
-/// Starts a follower that polls the bus at an address from the last applied event on, in place of the previous follower.
-/// The previous one still applies the response to its pending poll and then ends. The follower drops `running` when it
-/// ends.
+/// Starts a follower that polls the bus at an address from the last applied event on, in place of the previous
+/// follower. The previous one still applies the response to its pending poll and then ends. The follower drops
+/// `running` when it ends.
 pub fn follow(feed: &Arc<Feed>, sink: &Arc<dyn EventSink>, address: SocketAddr, running: Permit) {
     let (feed, sink) = (feed.clone(), sink.clone());
-    let follower_number = feed.follower.fetch_add(1, Ordering::SeqCst) + 1;
+    let follower_number = feed.latest_follower.fetch_add(1, Ordering::SeqCst) + 1;
     crate::net::spawn(move || {
         let _running = running;
         let timing = PollTiming::new(feed.seed ^ follower_number);
@@ -175,7 +175,7 @@
     feed: Arc<Feed>,
     sink: Arc<dyn EventSink>,
     address: SocketAddr,
-    /// The follower polls as long as this is the number in `feed.follower`.
+    /// The follower polls as long as this is the number in `feed.latest_follower`.
     number: u64,
     timing: PollTiming,
     connection: Option<BusConnection>,
@@ -186,7 +186,7 @@
 impl Follower {
     /// Polls until the feed is stopped or a newer follower takes over. A lost connection is reopened without backoff.
     fn run(&mut self) {
-        while self.feed.follower.load(Ordering::SeqCst) == self.number && !self.feed.is_stopped() {
+        while self.feed.latest_follower.load(Ordering::SeqCst) == self.number && !self.feed.is_stopped() {
             let is_new_connection = self.connection.is_none();
             match self.poll() {
                 Ok(batch) => self.handle_batch(batch),
--- a/src/net/discovery/event_sink.rs
+++ b/src/net/discovery/event_sink.rs
@@ -17,8 +17,8 @@
     /// Applies events. They are in effect when this returns.
     fn apply(&self, batch: Batch);
 
-    /// Replaces the freshness lease after events were applied, and sets how many revalidations per second are allowed while
-    /// it is expired. Only called if the gateway polls relays.
+    /// Replaces the freshness lease after events were applied, and sets how many revalidations per second are allowed
+    /// while it is expired. Only called if the gateway polls relays.
     fn renew_freshness(&self, lease: Lease, revalidations: u32);
 
     /// Called if a poll failed because the process is out of file descriptors.
--- a/src/net/discovery/event_times.rs
+++ b/src/net/discovery/event_times.rs
@@ -1,20 +1,20 @@
 //! Estimates when purges were made and stores were started, on this process's monotonic clock.
 //!
-//! Events carry Unix time stamps of other machines, and the wall clock of any machine may be stepped. So a time stamp is
-//! trusted only as far as a second source confirms it; otherwise the event is assumed to have just happened. An estimate
-//! that is too late only costs some repeated fetches after a purge, or a longer slow start of a store. An estimate that is
-//! too early could let purged copies be served, or a cold store be overloaded.
+//! Events carry Unix time stamps of other machines, and the wall clock of any machine may be stepped. So a time stamp
+//! is trusted only as far as a second source confirms it; otherwise the event is assumed to have just happened. An
+//! estimate that is too late only costs some repeated fetches after a purge, or a longer slow start of a store. An
+//! estimate that is too early could let purged copies be served, or a cold store be overloaded.
 //!
 //! The age of an event is estimated as the smallest of:
 //!
-//! - the time from its time stamp to the latest time stamp of the events from it to the end of the batch, by the clocks of
-//!   the stamping machines. This is too long only if those clocks were stepped forward in between;
-//! - its age by this machine's wall clock, corrected to the smallest lead over the monotonic clock seen so far, so that a
-//!   step forward after the start has no effect;
+//! - the time from its time stamp to the latest time stamp of the events from it to the end of the batch, by the clocks
+//!   of the stamping machines. This is too long only if those clocks were stepped forward in between;
+//! - its age by this machine's wall clock, corrected to the smallest lead over the monotonic clock seen so far, so that
+//!   a step forward after the start has no effect;
 //! - the time since the previous poll response, if there was one.
 //!
-//! When the gateway starts there is no previous response. Stores that are listed then may have been running for long, so
-//! their start times are taken from the wall clock if the latest time stamp agrees with it.
+//! When the gateway starts there is no previous response. Stores that are listed then may have been running for long,
+//! so their start times are taken from the wall clock if the latest time stamp agrees with it.
 //!
 //! The module performs no I/O and reads no clock.
 
@@ -65,8 +65,8 @@
 }
 
 impl EventAgeEstimator {
-    /// Records a batch: first the events of the configuration, then poll responses. `stamps` holds the latest time stamp of
-    /// each event. A snapshot repeats events of any age.
+    /// Records a batch: first the events of the configuration, then poll responses. `stamps` holds the latest time
+    /// stamp of each event. A snapshot repeats events of any age.
     pub fn record_batch(
         &mut self,
         now: ClockReading,
@@ -141,8 +141,8 @@
 impl BatchAges {
     /// The minimum age of a purge. `event_index` is the index of its event in the batch.
     pub fn purge_age(&self, event_index: usize, made: UnixMillis) -> Micros {
-        // If nothing bounds the ages, few purges are active, and repeating their fetches costs little. In a snapshot the
-        // combined purges invalidate whole slices of the hash space, so their ages are estimated.
+        // If nothing bounds the ages, few purges are active, and repeating their fetches costs little. In a snapshot
+        // the combined purges invalidate whole slices of the hash space, so their ages are estimated.
         let is_estimated = self.max_age.is_some() || self.snapshot;
         if is_estimated && made > 0 { self.confirmed_age(event_index, made) } else { 0 }
     }
--- a/src/net/discovery/event_times/starts.rs
+++ b/src/net/discovery/event_times/starts.rs
@@ -25,8 +25,8 @@
 }
 
 impl StoreStartTimes {
-    /// The start time of a listed store on the monotonic clock; `None` (long ago) if it is not stated or lies before the
-    /// clock's origin. `stated` is the start time in the list, `event_index` the index of the list in the batch.
+    /// The start time of a listed store on the monotonic clock; `None` (long ago) if it is not stated or lies before
+    /// the clock's origin. `stated` is the start time in the list, `event_index` the index of the list in the batch.
     pub fn start_time(
         &mut self,
         now: Micros,
--- a/src/net/discovery/event_times/tests.rs
+++ b/src/net/discovery/event_times/tests.rs
@@ -34,8 +34,8 @@
 const RECEIVED_AT: i64 = 2 * SECOND + 100_000;
 
 /// Three events of the last 0.1 s arrive in one batch, after a step of the gateway's clock, of the stamping clock or of
-/// both. The stamping clock is stepped before the first, second or third event. An event that counts as older than it is
-/// could let purged copies be served.
+/// both. The stamping clock is stepped before the first, second or third event. An event that counts as older than it
+/// is could let purged copies be served.
 #[rstest]
 fn age_of_an_event_received_after_a_clock_step_is_not_overestimated(
     #[values(5 * SECOND, -5 * SECOND, 60 * SECOND, HOUR, -HOUR)] step: i64,
@@ -96,8 +96,8 @@
     assert_eq!(batch_ages.purge_age(1, stamp(-2 * SECOND, 0)), 3_000_000);
 }
 
-/// A gateway starts on a machine whose clock was stepped before, with a store that started ten seconds ago and an event of
-/// one second ago in its configuration. An overestimated age would end the store's slow start too early.
+/// A gateway starts on a machine whose clock was stepped before, with a store that started ten seconds ago and an event
+/// of one second ago in its configuration. An overestimated age would end the store's slow start too early.
 #[rstest]
 #[case::no_step(0, 10_000_000)]
 #[case::ahead_by_seconds(5 * SECOND, 9_000_000)]
--- a/src/net/discovery/feed.rs
+++ b/src/net/discovery/feed.rs
@@ -264,8 +264,8 @@
     }
 }
 
-/// Classifies the error of a poll. `reused` says that earlier polls used the connection, which the relay may have closed
-/// since.
+/// Classifies the error of a poll. `reused` says that earlier polls used the connection, which the relay may have
+/// closed since.
 fn poll_error(error: ResponseError, reused: bool) -> PollError {
     let error = match error {
         ResponseError::Invalid(error) => return error.into(),
--- a/src/net/discovery/long_poll.rs
+++ b/src/net/discovery/long_poll.rs
@@ -167,8 +167,8 @@
     Duration::try_from_secs_f64(text.parse().ok()?).ok()
 }
 
-/// Decodes a chunked body, and returns it with the number of bytes that it occupied. Returns `None` if it is not complete
-/// yet.
+/// Decodes a chunked body, and returns it with the number of bytes that it occupied. Returns `None` if it is not
+/// complete yet.
 fn decode_chunked(mut bytes: &[u8]) -> Result<Option<(Vec<u8>, usize)>, httparse::InvalidChunkSize> {
     let (mut body, received) = (Vec::new(), bytes.len());
     loop {
@@ -270,8 +270,8 @@
     }
 }
 
-/// Removes the first response from the received bytes. Returns `None` if it is not complete yet. `end_of_stream` says that
-/// no more bytes will follow.
+/// Removes the first response from the received bytes. Returns `None` if it is not complete yet. `end_of_stream` says
+/// that no more bytes will follow.
 fn take_response(buffer: &mut Vec<u8>, end_of_stream: bool) -> Result<Option<Response>, InvalidResponse> {
     let Some(head) = parse_head(buffer)? else { return Ok(None) };
     let body_bytes = &buffer[head.body_start..];
--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -1,5 +1,5 @@
-//! Steps the wall clocks of a running gateway (through the fault injector) and of the machines that stamp events. Guards
-//! against purged copies that are served, and against a store that loses its slow start.
+//! Steps the wall clocks of a running gateway (through the fault injector) and of the machines that stamp events.
+//! Guards against purged copies that are served, and against a store that loses its slow start.
 
 #[allow(dead_code, reason = "the feed tests use the other items")]
 #[path = "stand/relay.rs"]
@@ -146,8 +146,8 @@
     assert!(machines.gateway_has_read_the_step());
 }
 
-/// A relay ignores acknowledgements of an earlier incarnation, so a restarted gateway must not choose a lower one after its
-/// clock was stepped back.
+/// A relay ignores acknowledgements of an earlier incarnation, so a restarted gateway must not choose a lower one after
+/// its clock was stepped back.
 #[test]
 fn gateway_restarted_after_a_backward_clock_step_has_a_higher_incarnation() {
     let (relay, bus, folder) = (Relay::new("f1"), Bus::default(), Folder::default());
--- a/tests/feed.rs
+++ b/tests/feed.rs
@@ -129,8 +129,8 @@
     });
 }
 
-/// Before the first response nothing confirms the gateway's state, so the lease counts as expired from the first request
-/// on.
+/// Before the first response nothing confirms the gateway's state, so the lease counts as expired from the first
+/// request on.
 #[test]
 fn state_before_the_first_response_is_stale() {
     let relay = Relay::new("f1");
@@ -395,8 +395,8 @@
     assert!(stopped.iter().all(|control_side| control_side.counters().events.get() == 1));
 }
 
-/// The threads of shared state and of the control follower must end at a stop as well, or the next start fails to bind the
-/// address.
+/// The threads of shared state and of the control follower must end at a stop as well, or the next start fails to bind
+/// the address.
 #[test]
 fn stopped_fleet_member_can_restart_at_its_address() {
     let address = unused_address();
