--- a/crates/stream/src/counts.rs
+++ b/crates/stream/src/counts.rs
@@ -1,16 +1,17 @@
-//! How many requests a gateway has answered.
+//! Request counters that gateways report.
 
-/// Requests that a gateway's process has answered since its start.
+/// Counters of the requests that a gateway process has answered since it started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounts {
-    /// All of them.
+    /// All answered requests.
     pub requests: u64,
-    /// Those that failed.
+    /// Failed requests.
     pub failed: u64,
 }
 
 impl RequestCounts {
-    /// What was answered since an earlier count; none if that was another process's.
+    /// The difference to an earlier reading, or zero where the earlier reading is greater because it comes from
+    /// another process.
     #[must_use]
     pub fn since(self, earlier: RequestCounts) -> RequestCounts {
         RequestCounts {
--- a/crates/stream/src/lib.rs
+++ b/crates/stream/src/lib.rs
@@ -1,16 +1,19 @@
-//! Streamed configuration: versions from a control service to its gateways, complete or not at all.
+//! Configuration streaming: a control service distributes versions to its gateways, and each version is applied
+//! completely or not at all.
 //!
-//! Nothing here does I/O, reads a clock or starts a thread: bytes, the time in milliseconds and a seed are passed in.
+//! The crate does no I/O, reads no clock and starts no threads: callers pass in bytes, the time in milliseconds and a
+//! random seed.
 //!
-//! - [`version`]: what a version is: numbered documents under one digest;
-//! - [`message`]: what both sides send to each other, and its framing;
-//! - [`subscriber`]: a gateway's side: received, assembled, staged, stored, in force, acknowledged or rejected;
-//! - [`service`]: the control service's side: who has what, and what is sent to whom;
-//! - [`rollout`]: a version's way through the fleet, in stages, and back;
-//! - [`store`]: the last good versions on disk, by calls of [`sagearch_folder::FileStore`], which the caller gives.
+//! - [`version`]: versions, which are numbered sets of documents with a digest;
+//! - [`message`]: the protocol messages and their framing;
+//! - [`subscriber`]: the gateway's state machine, which receives, assembles, stages, stores, commits, and then
+//!   acknowledges versions, or rejects them;
+//! - [`service`]: the control service's state machine, which tracks the gateways' versions and schedules transfers;
+//! - [`rollout`]: staged rollouts with automatic rollback;
+//! - [`store`]: the last good versions on disk, accessed through a [`sagearch_folder::FileStore`] from the caller.
 //!
 //! The semantics follow those published for xDS (versions, nonces, ACK and NACK, full state and deltas), with one
-//! difference: all documents of a version are one, and are in force together.
+//! difference: all documents of a version form one unit and come into force together.
 
 #![warn(missing_docs)]
 
@@ -25,5 +28,5 @@
 pub use counts::RequestCounts;
 pub use version::{Version, VersionId};
 
-/// Milliseconds: a span, or since any fixed moment.
+/// A duration, or a point in time since an arbitrary fixed origin, in milliseconds.
 pub type Millis = u64;
--- a/crates/stream/src/message.rs
+++ b/crates/stream/src/message.rs
@@ -1,16 +1,16 @@
-//! What the two sides send, and its form on the wire: four bytes of length, then JSON.
+//! Protocol messages and their framing: a four-byte length, then JSON.
 //!
 //! ```text
 //! gateway                                  control service
 //!   Hello{node, instance, have, nacked} ->
 //!                                        <- Welcome{beat_ms, spread_ms} or Busy{retry_ms}
 //!                                        <- Offer{nonce, id, base, names, removed, bytes}
-//!                                        <- Piece{nonce, name, text, last} ... in the offer's order
+//!                                        <- Piece{nonce, name, text, last} ... in the order of the offer
 //!                                        <- Done{nonce}
 //!   Ack{nonce, id}                       -> in force
-//!   Nack{nonce, id, cause}               -> rejected; what was in force still is
-//!   Skip{nonce, id}                      -> a newer one has come before this could be applied
-//!   Beat{requests, failed}              <-> each `beat_ms`
+//!   Nack{nonce, id, cause}               -> rejected; the previous version stays in force
+//!   Skip{nonce, id}                      -> superseded by a newer version before it was applied
+//!   Beat{requests, failed}              <-> every `beat_ms`
 //! ```
 
 use crate::version::{Digest, VersionId};
@@ -20,185 +20,185 @@
 
 /// The largest message, in bytes.
 pub const MAX_FRAME_BYTES: usize = 512 * 1024;
-/// The longest chunk of a document, in bytes. As JSON it may take six times as much.
+/// The largest chunk of a document, in bytes. JSON escapes may make it up to six times as long on the wire.
 pub const MAX_CHUNK_BYTES: usize = 64 * 1024;
-/// The version of the protocol, in the first message of both sides. Another one ends the connection.
+/// The protocol version in the first message of both sides. A mismatch ends the connection.
 pub const PROTOCOL: u32 = 1;
 
-/// The cause of a negative acknowledgement by which the service learns that the gateway lacks the base of an offer.
+/// The cause of a rejection that indicates to the service that the gateway lacks the base of the offered delta.
 pub const BASE_MISSING: &str = "it builds on what is not here";
 
-/// What a gateway or an operator sends.
+/// A message from a gateway or an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "say", rename_all = "snake_case")]
 pub enum FromGateway {
     /// A gateway's first message.
     Hello {
-        /// [`PROTOCOL`] of the gateway.
+        /// The gateway's [`PROTOCOL`].
         protocol: u32,
-        /// The gateway's name, as its certificate has it.
+        /// The gateway's name, which must match its certificate.
         node: String,
-        /// One process of the gateway: there are two in an upgrade.
+        /// The id of the gateway process. Two processes run at once during an upgrade.
         instance: u64,
         /// The version in force.
         have: Option<VersionId>,
-        /// The version that was rejected last, so that it is not offered again.
+        /// The version that the gateway rejected last, so that it is not offered again.
         nacked: Option<VersionId>,
     },
-    /// A version is in force.
+    /// Acknowledges a version that is in force.
     Ack {
-        /// Of the offer.
+        /// The nonce of the offer.
         nonce: u64,
-        /// Of the version.
+        /// The version that is in force.
         id: VersionId,
     },
-    /// A version is rejected; what was in force still is.
+    /// Rejects a version; the previous version stays in force.
     Nack {
-        /// Of the offer.
+        /// The nonce of the offer.
         nonce: u64,
-        /// Of the version.
+        /// The rejected version.
         id: VersionId,
-        /// Why, for operators; [`BASE_MISSING`] is for the service too.
+        /// The reason, for operators. The service also interprets [`BASE_MISSING`].
         cause: String,
     },
-    /// A version is not applied, as a newer one has come.
+    /// Reports that a version was not applied because a newer one superseded it.
     Skip {
-        /// Of the offer.
+        /// The nonce of the offer.
         nonce: u64,
-        /// Of the version.
+        /// The skipped version.
         id: VersionId,
     },
-    /// The process is alive, and has answered so many requests since its start.
+    /// Reports that the process is alive, and its request counters since it started.
     #[serde(rename = "beat")]
     Heartbeat {
-        /// All of them.
+        /// All answered requests.
         requests: u64,
-        /// Those that failed.
+        /// Failed requests.
         failed: u64,
     },
-    /// A chunk of a document that an operator is about to publish.
+    /// A chunk of a document that an operator uploads before [`Command::Publish`].
     #[serde(rename = "piece")]
     Chunk {
         /// The document's name.
         name: String,
-        /// At most [`MAX_CHUNK_BYTES`].
+        /// The text of the chunk, of at most [`MAX_CHUNK_BYTES`].
         text: String,
-        /// Whether the document is complete with it.
+        /// Whether this is the document's last chunk.
         last: bool,
     },
-    /// An operator's command, on a connection of its own.
+    /// A command of an operator, on a separate connection.
     Command {
-        /// What is commanded.
+        /// The command to run.
         command: Command,
     },
 }
 
-/// What a control service sends.
+/// A message from a control service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "say", rename_all = "snake_case")]
 pub enum FromService {
     /// The first message of a session.
     Welcome {
-        /// [`PROTOCOL`] of the service.
+        /// The service's [`PROTOCOL`].
         protocol: u32,
-        /// Milliseconds between two heartbeats, in both directions.
+        /// The interval of heartbeats in both directions, in milliseconds.
         #[serde(rename = "beat_ms")]
         heartbeat_ms: u64,
-        /// Milliseconds over which gateways come back when this service has been away.
+        /// The window over which gateways spread their reconnects after an outage of the service, in milliseconds.
         #[serde(rename = "spread_ms")]
         reconnect_window_ms: u64,
     },
-    /// There are too many sessions.
+    /// Refuses a session because too many are open.
     Busy {
-        /// Milliseconds after which to come back.
+        /// The delay before the next connection attempt, in milliseconds.
         retry_ms: u64,
     },
-    /// A version for the gateway.
+    /// Offers a version to the gateway.
     Offer {
-        /// Repeated in the answer, and in the chunks.
+        /// Identifies the offer in its chunks and in the gateway's answer.
         nonce: u64,
-        /// Of the version.
+        /// The offered version.
         id: VersionId,
-        /// The version to which the documents below are added; `None`: all documents come.
+        /// The digest of the version that the delta applies to, or `None` if all documents are sent.
         base: Option<Digest>,
-        /// Documents that come, in this order.
+        /// The names of the documents that are sent, in this order.
         names: Vec<String>,
-        /// Documents of the base that are gone.
+        /// The names of documents of the base that the version no longer contains.
         removed: Vec<String>,
-        /// The size of all documents of the version, in bytes.
+        /// The total size of the version, in bytes.
         bytes: u64,
     },
     /// A chunk of an offered document.
     #[serde(rename = "piece")]
     Chunk {
-        /// Of the offer.
+        /// The nonce of the offer.
         nonce: u64,
         /// The document's name.
         name: String,
-        /// At most [`MAX_CHUNK_BYTES`].
+        /// The text of the chunk, of at most [`MAX_CHUNK_BYTES`].
         text: String,
-        /// Whether the document is complete with it.
+        /// Whether this is the document's last chunk.
         last: bool,
     },
-    /// All documents of an offer have been sent.
+    /// Ends a transfer: all documents of the offer have been sent.
     Done {
-        /// Of the offer.
+        /// The nonce of the offer.
         nonce: u64,
     },
-    /// The service is alive.
+    /// Reports that the service is alive.
     #[serde(rename = "beat")]
     Heartbeat,
     /// The answer to a command.
     Reply {
-        /// The result, or the error's text.
+        /// The result, or the text of the error.
         answer: Result<serde_json::Value, String>,
     },
 }
 
-/// What operators command a control service.
+/// A command of an operator to the control service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "command", rename_all = "snake_case")]
 pub enum Command {
-    /// Publishes the documents that came in chunks before.
+    /// Publishes the documents that were uploaded on this connection.
     Publish {
-        /// How they are rolled out.
+        /// The plan of the rollout.
         plan: crate::rollout::Plan,
     },
-    /// Which gateway has which version.
+    /// Returns the versions of the gateways and the state of the rollout.
     Status,
-    /// Back to the content of an earlier version, under a new number.
+    /// Publishes the content of an earlier version under a new number.
     Rollback {
-        /// Of the earlier version.
+        /// The number of the earlier version.
         number: u64,
     },
-    /// The documents of a version, as a transfer before the answer.
+    /// Sends the documents of a version as a transfer, followed by the reply.
     Show {
-        /// Of the version; `None`: the newest.
+        /// The number of the version, or `None` for the newest.
         number: Option<u64>,
     },
 }
 
-/// Why bytes are no message, or a message can't be sent.
+/// An error of encoding or decoding a message.
 #[derive(Debug, Error)]
 pub enum FrameError {
-    /// The message is over [`MAX_FRAME_BYTES`].
-    #[error("a message of {bytes} bytes is over {MAX_FRAME_BYTES}")]
+    /// The message is larger than [`MAX_FRAME_BYTES`].
+    #[error("message of {bytes} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes")]
     TooLarge {
-        /// Its size without the four bytes of the length.
+        /// The size of the message without its four-byte length prefix.
         bytes: usize,
     },
-    /// It has no form in JSON.
+    /// The message can't be represented as JSON.
     #[error(transparent)]
     Unencodable(serde_json::Error),
-    /// It is not JSON, or not that of the expected message.
-    #[error("not a message: {0}")]
+    /// The frame is not valid JSON of the expected message type.
+    #[error("malformed message: {0}")]
     Malformed(#[source] serde_json::Error),
 }
 
-/// The bytes of a message on the wire.
+/// Encodes a message as a frame.
 ///
 /// # Errors
-/// [`FrameError::TooLarge`], and [`FrameError::Unencodable`] for types without a form in JSON.
+/// [`FrameError::TooLarge`], and [`FrameError::Unencodable`] for types that JSON can't represent.
 pub fn encode(message: &impl Serialize) -> Result<Vec<u8>, FrameError> {
     let text = serde_json::to_vec(message).map_err(FrameError::Unencodable)?;
     if text.len() > MAX_FRAME_BYTES {
@@ -210,7 +210,7 @@
     Ok(frame)
 }
 
-/// Finds the messages in bytes that come in any pieces.
+/// Decodes messages from a byte stream that arrives in pieces of any size.
 #[derive(Default)]
 pub struct Decoder {
     buffer: Vec<u8>,
@@ -218,9 +218,9 @@
 }
 
 impl Decoder {
-    /// Adds bytes that have come.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
-        // Drops what has been read before more is added.
+        // Discards decoded bytes before appending, which bounds the buffer.
         if self.consumed > 0 {
             self.buffer.drain(..self.consumed);
             self.consumed = 0;
@@ -228,14 +228,14 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next message. `None`: it is not complete yet.
+    /// Returns the next message, or `None` until its frame is complete.
     ///
     /// # Errors
-    /// [`FrameError::TooLarge`] and [`FrameError::Malformed`]: the connection is of no use any more.
+    /// [`FrameError::TooLarge`] and [`FrameError::Malformed`], after which the connection can't be used any more.
     pub fn next_message<T: DeserializeOwned>(&mut self) -> Result<Option<T>, FrameError> {
-        let rest = &self.buffer[self.consumed..];
-        let Some((head, rest)) = rest.split_first_chunk::<4>() else { return Ok(None) };
-        let length = u32::from_be_bytes(*head) as usize;
+        let unread = &self.buffer[self.consumed..];
+        let Some((length_prefix, rest)) = unread.split_first_chunk::<4>() else { return Ok(None) };
+        let length = u32::from_be_bytes(*length_prefix) as usize;
         if length > MAX_FRAME_BYTES {
             return Err(FrameError::TooLarge { bytes: length });
         }
--- a/crates/stream/src/rollout.rs
+++ b/crates/stream/src/rollout.rs
@@ -1,37 +1,37 @@
-//! A version's way through the fleet: a share of gateways first, more of them as long as all goes well, and back by
-//! itself when it does not.
+//! Staged rollouts: a version goes to a growing share of the fleet while the gateways stay healthy, and is rolled back
+//! automatically otherwise.
 //!
-//! Which gateways go first follows from a stable hash of their names, so that a gateway is in every larger share too.
-//! A version is rolled back by a new number with the content of before: numbers never go back.
+//! A stable hash of a gateway's name decides which stage includes it first, so that every later stage includes it too.
+//! A rollback publishes the previous content under a new number: numbers never decrease.
 
 use crate::Millis;
 use ring::digest::{SHA256, digest};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// A plan whose stages don't grow up to all gateways.
+/// The error for a plan whose stages don't increase up to 100 percent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("stages are growing shares in percent, of which the last is 100")]
 pub struct PlanError;
 
-/// How a version is rolled out.
+/// The stages of a rollout and the limits beyond which it is rolled back.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Shares of the fleet in percent, growing; the last one is 100.
+    /// Shares of the fleet in percent, strictly increasing; the last one is 100.
     pub stages: Vec<u8>,
-    /// How long a stage is watched once all of its gateways that are connected have the version.
+    /// The soak time of a stage, which starts once all of its connected gateways have the version.
     #[serde(rename = "hold_ms")]
     pub soak_ms: Millis,
-    /// A stage whose gateways don't all have the version after this is rolled back.
+    /// The time within which all gateways of a stage must have the version; the rollout is rolled back after it.
     #[serde(rename = "within_ms")]
     pub stage_timeout_ms: Millis,
-    /// Gateways that may turn it down.
+    /// The number of gateways that may reject the version.
     #[serde(rename = "nacks")]
     pub max_nacks: u32,
-    /// By how much the share of failed requests may rise, in thousandths.
+    /// The allowed rise of the share of failed requests, in thousandths.
     #[serde(rename = "rise")]
     pub max_failure_rise_permille: u32,
-    /// Requests that a share of failures is judged by.
+    /// The minimum number of requests before the share of failed requests is evaluated.
     #[serde(rename = "requests")]
     pub min_requests: u64,
 }
@@ -50,15 +50,15 @@
 }
 
 impl Plan {
-    /// To all at once.
+    /// A rollout to all gateways at once.
     pub fn immediate() -> Plan {
         Plan { stages: vec![100], soak_ms: 0, ..Plan::default() }
     }
 
-    /// Whether the stages are those of a rollout to all gateways.
+    /// Checks that the stages lead to all gateways.
     ///
     /// # Errors
-    /// [`PlanError`] if they don't grow, or don't end at 100.
+    /// [`PlanError`] if the stages don't strictly increase from above 0 to 100.
     pub fn validate(&self) -> Result<(), PlanError> {
         let growing = self.stages.windows(2).all(|pair| pair[0] < pair[1]);
         match self.stages.last() {
@@ -68,109 +68,109 @@
     }
 }
 
-/// A gateway's rank among all, from 0 to 99, by the hash of its name. A stage includes the ranks below its percentage.
+/// The rank of a gateway from 0 to 99, by the hash of its name. A stage includes the ranks below its percentage.
 pub fn rank(node: &str) -> u8 {
     let hash = digest(&SHA256, node.as_bytes());
     let head: [u8; 8] = hash.as_ref()[..8].try_into().unwrap_or_default();
     (u64::from_be_bytes(head) % 100) as u8
 }
 
-/// How the gateways of a stage do.
+/// The health of the gateways of a stage.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct StageHealth {
-    /// Connected gateways of the stage.
+    /// The number of connected gateways of the stage.
     pub gateways: usize,
-    /// Those that have the version.
+    /// The number of gateways that have the version.
     pub updated: usize,
-    /// Those that have rejected it.
+    /// The number of gateways that rejected the version.
     pub nacks: usize,
-    /// Their requests since they have it.
+    /// Requests of the updated gateways since their update.
     pub requests: u64,
-    /// Those of them that failed.
+    /// Failed requests of the updated gateways since their update.
     pub failed: u64,
-    /// Their requests before they had it.
+    /// Requests of the updated gateways before their update.
     pub requests_before: u64,
-    /// Those of them that failed.
+    /// Failed requests of the updated gateways before their update.
     pub failed_before: u64,
 }
 
-/// Why a version is rolled back. Its text is the one that operators read, and that is stored.
+/// The reason for a rollback. Its text is shown to operators and stored.
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
 pub enum RollbackCause {
-    /// More gateways have rejected it than the plan allows.
+    /// More gateways rejected the version than the plan allows.
     #[error("{nacks} gateways have turned it down")]
     Nacks {
-        /// How many have.
+        /// The number of gateways that rejected the version.
         nacks: usize,
     },
-    /// The share of failed requests has risen by more than the plan allows.
+    /// The share of failed requests rose by more than the plan allows.
     #[error("{failed_percent:.1}% of requests fail, {failed_percent_before:.1}% did before")]
     FailureRise {
-        /// The share in percent since the gateways have the version.
+        /// The share of failed requests after the update, in percent.
         failed_percent: f64,
-        /// The share in percent before they had it.
+        /// The share of failed requests before the update, in percent.
         failed_percent_before: f64,
     },
-    /// Not all gateways of the stage have it in time.
+    /// Not all gateways of the stage had the version within the stage timeout.
     #[error("only {updated} of {gateways} gateways have it in time")]
     StageTimedOut {
-        /// Those that have it.
+        /// The number of gateways that have the version.
         updated: usize,
-        /// All connected gateways of the stage.
+        /// The number of connected gateways of the stage.
         gateways: usize,
     },
 }
 
-/// What is done about a rollout.
+/// The decision on a rollout.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Decision {
-    /// Nothing yet.
+    /// The stage continues.
     Wait,
     /// The next stage begins.
     NextStage,
-    /// All have it, and nothing is left to be watched.
+    /// The last stage has soaked, and the rollout is complete.
     Complete,
-    /// The version is rolled back, for this cause.
+    /// The version is rolled back for this cause.
     RollBack(RollbackCause),
 }
 
-/// Where a version is on its way.
+/// The progress of a rollout.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rollout {
-    /// How it goes.
+    /// The plan of the rollout.
     pub plan: Plan,
-    /// The index of the present stage.
+    /// The index of the current stage.
     pub stage: usize,
-    /// When the stage began.
+    /// When the current stage started.
     #[serde(rename = "began")]
     stage_started: Millis,
-    /// Since when all gateways of the stage have the version.
+    /// Since when all gateways of the current stage have the version, if they do.
     #[serde(rename = "whole")]
     complete_since: Option<Millis>,
 }
 
 impl Rollout {
-    /// A rollout that begins.
+    /// Starts a rollout.
     pub fn new(plan: Plan, now: Millis) -> Rollout {
         Rollout { plan, stage: 0, stage_started: now, complete_since: None }
     }
 
-    /// The share of this stage, in percent.
+    /// The share of the fleet that the current stage includes, in percent.
     pub fn percentage(&self) -> u8 {
         self.plan.stages.get(self.stage).copied().unwrap_or(100)
     }
 
-    /// Whether the present stage includes a gateway.
+    /// Whether the current stage includes a gateway.
     pub fn includes(&self, node: &str) -> bool {
         rank(node) < self.percentage()
     }
 
-    /// A service that comes back does not know how long it was away: the stage begins anew.
+    /// Restarts the current stage after a restart of the service, which does not know how long it was down.
     pub fn resume(&mut self, now: Millis) {
         (self.stage_started, self.complete_since) = (now, None);
     }
 
-    /// Decides by how the gateways of the present stage do, and goes on to the next one if all is well.
+    /// Decides by the health of the current stage's gateways, and advances to the next stage after the soak time.
     pub fn evaluate(&mut self, health: StageHealth, now: Millis) -> Decision {
         let failed = self.too_many_nacks(health).or_else(|| self.failure_rise(health));
         if let Some(cause) = failed {
@@ -198,8 +198,8 @@
     }
 
     fn failure_rise(&self, health: StageHealth) -> Option<RollbackCause> {
-        let failed = share(health.failed, health.requests);
-        let failed_before = share(health.failed_before, health.requests_before);
+        let failed = failure_ratio(health.failed, health.requests);
+        let failed_before = failure_ratio(health.failed_before, health.requests_before);
         let max_rise = f64::from(self.plan.max_failure_rise_permille) / 1_000.0;
         if health.requests < self.plan.min_requests || failed <= failed_before + max_rise {
             return None;
@@ -219,7 +219,7 @@
     }
 }
 
-/// A part of a whole; zero of nothing.
-fn share(part: u64, whole: u64) -> f64 {
-    if whole == 0 { 0.0 } else { part as f64 / whole as f64 }
+/// The ratio of failed requests, or zero if there were no requests.
+fn failure_ratio(failed: u64, requests: u64) -> f64 {
+    if requests == 0 { 0.0 } else { failed as f64 / requests as f64 }
 }
--- a/crates/stream/src/store.rs
+++ b/crates/stream/src/store.rs
@@ -1,11 +1,12 @@
-//! The last good versions on files: a file each, written beside and renamed into place, with a checksum over all of it.
+//! Storage of the last good versions: one file each, written to a temporary file and renamed into place, with a
+//! checksum over its body.
 //!
 //! ```text
 //! "SGCV" | format: 2 bytes | SHA-256 of the body: 32 bytes | length of the body: 8 bytes | body: JSON
 //! ```
 //!
-//! Numbers are big-endian. A file that is torn, cut, changed by a bit, or of a newer format is skipped and reported;
-//! the next older one counts. Nothing is ever changed in place.
+//! Integers are big-endian. A file that is incomplete, damaged or of a newer format is skipped and reported, and the
+//! next older version is used. Files are never modified in place.
 
 use crate::version::Version;
 use ring::digest::{SHA256, digest};
@@ -16,32 +17,32 @@
 use thiserror::Error;
 
 const MAGIC: &[u8; 4] = b"SGCV";
-const FORMAT: u16 = 1;
+const FORMAT_VERSION: u16 = 1;
 const HEADER_BYTES: usize = 4 + 2 + 32 + 8;
-/// The largest file that is read.
+/// The maximum size of a file that is read, in bytes.
 pub const MAX_FILE_BYTES: usize = 300 * 1024 * 1024;
 
-/// Why a file can't be used.
+/// The reason why a file is unusable.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum FileError {
-    /// It does not begin as files of this program do.
-    #[error("not a file of this program")]
+    /// The file does not start with the magic number.
+    #[error("missing magic number")]
     UnknownFormat,
-    /// It was written by a later program, in this format.
-    #[error("of format {0}, by a later program")]
+    /// The file has this format version, which this release does not support.
+    #[error("unsupported format version {0}; expected {FORMAT_VERSION}")]
     UnsupportedFormat(u16),
-    /// It is cut off, or too long.
-    #[error("cut off")]
+    /// The length of the file does not match its header.
+    #[error("file length does not match the header")]
     Truncated,
-    /// The checksum is another's.
-    #[error("changed since it was written")]
+    /// The content does not match the checksum or the file name, or can't be decoded.
+    #[error("content does not match the checksum or the file name")]
     ChecksumMismatch,
-    /// The file system could not read it.
+    /// The file could not be read.
     #[error("{message}")]
     Unreadable {
-        /// The kind of the file system's error.
+        /// The kind of the I/O error.
         kind: io::ErrorKind,
-        /// Its text.
+        /// The text of the I/O error.
         message: String,
     },
 }
@@ -52,35 +53,35 @@
     }
 }
 
-/// A file that can't be used.
+/// An unusable file and the reason.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{name}: {error}")]
 pub struct UnusableFile {
-    /// The file's name; `.` is the folder itself.
+    /// The name of the file, or `.` for the folder itself.
     pub name: String,
-    /// Why it can't be used.
+    /// The reason why the file is unusable.
     pub error: FileError,
 }
 
-/// The content of a file that holds this value.
+/// Encodes a value as the content of a file.
 ///
 /// # Errors
-/// For types without a form in JSON.
+/// An I/O error if the value can't be represented as JSON.
 pub fn encode(value: &impl Serialize) -> io::Result<Vec<u8>> {
     let body = serde_json::to_vec(value)?;
     let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
     bytes.extend_from_slice(MAGIC);
-    bytes.extend_from_slice(&FORMAT.to_be_bytes());
+    bytes.extend_from_slice(&FORMAT_VERSION.to_be_bytes());
     bytes.extend_from_slice(digest(&SHA256, &body).as_ref());
     bytes.extend_from_slice(&(body.len() as u64).to_be_bytes());
     bytes.extend_from_slice(&body);
     Ok(bytes)
 }
 
-/// The value that a file holds.
+/// Decodes the value in the content of a file.
 ///
 /// # Errors
-/// [`FileError`], except [`FileError::Unreadable`].
+/// Any [`FileError`] except [`FileError::Unreadable`].
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, FileError> {
     let Some((magic, rest)) = bytes.split_first_chunk::<4>() else { return Err(FileError::Truncated) };
     if magic != MAGIC {
@@ -88,15 +89,15 @@
     }
     let Some((format, rest)) = rest.split_first_chunk::<2>() else { return Err(FileError::Truncated) };
     let format = u16::from_be_bytes(*format);
-    if format != FORMAT {
+    if format != FORMAT_VERSION {
         return Err(FileError::UnsupportedFormat(format));
     }
-    let Some((sum, rest)) = rest.split_first_chunk::<32>() else { return Err(FileError::Truncated) };
+    let Some((checksum, rest)) = rest.split_first_chunk::<32>() else { return Err(FileError::Truncated) };
     let Some((length, body)) = rest.split_first_chunk::<8>() else { return Err(FileError::Truncated) };
     if u64::from_be_bytes(*length) != body.len() as u64 {
         return Err(FileError::Truncated);
     }
-    if digest(&SHA256, body).as_ref() != sum {
+    if digest(&SHA256, body).as_ref() != checksum {
         return Err(FileError::ChecksumMismatch);
     }
     serde_json::from_slice(body).map_err(|_| FileError::ChecksumMismatch)
@@ -106,14 +107,15 @@
 
 fn file_name(version: &Version) -> String {
     let (epoch, number) = version.id.sequence();
-    // The digest as well: two services may have disagreed about a number.
+    // The name includes the digest because two services may use the same number for different content.
     format!("{epoch:016x}-{number:016x}-{}{EXTENSION}", version.id.digest.get(..16).unwrap_or_default())
 }
 
-/// Stores a version, and then removes the oldest beyond `max_versions`. `writer` is that of [`FileStore::replace`].
+/// Stores a version, and then removes the oldest ones beyond `max_versions`. `writer` is passed to
+/// [`FileStore::replace`].
 ///
 /// # Errors
-/// Those of [`write()`]. Old versions that can't be removed stay for another time.
+/// The errors of [`write()`]. Old versions that can't be removed now are removed on a later call.
 pub fn store_version(
     files: &dyn FileStore,
     version: &Version,
@@ -121,7 +123,7 @@
     writer: u32,
 ) -> io::Result<()> {
     write(files, &file_name(version), version, writer)?;
-    // From here on it is stored; what is old may stay for another time.
+    // The version is stored: a failure to remove old versions is not an error.
     let mut names: Vec<String> = files.list().unwrap_or_default();
     names.retain(|name| name.ends_with(EXTENSION));
     names.sort_unstable();
@@ -131,24 +133,24 @@
     Ok(())
 }
 
-/// Replaces a file by an encoded value.
+/// Encodes a value and replaces the content of a file with it.
 ///
 /// # Errors
-/// Those of [`encode`] and [`FileStore::replace`].
+/// The errors of [`encode`] and [`FileStore::replace`].
 pub fn write(files: &dyn FileStore, name: &str, value: &impl Serialize, writer: u32) -> io::Result<()> {
     files.replace(name, &encode(value)?, writer)
 }
 
-/// The stored versions, the newest first, and the files that can't be used.
+/// The result of reading the stored versions.
 #[derive(Debug, Default)]
 pub struct StoredVersions {
-    /// Those that can be used.
+    /// The intact versions, newest first.
     pub versions: Vec<Version>,
-    /// Files that look like versions and can't be used.
+    /// Files that are named like versions but are unusable.
     pub unusable: Vec<UnusableFile>,
 }
 
-/// Reads the stored versions. A folder that can't be read has none, and is reported as unusable.
+/// Reads the stored versions. A folder that can't be read yields no versions and is reported as unusable.
 pub fn load_versions(files: &dyn FileStore) -> StoredVersions {
     let mut stored = StoredVersions::default();
     let mut names = match files.list() {
--- a/crates/stream/src/version.rs
+++ b/crates/stream/src/version.rs
@@ -1,31 +1,31 @@
-//! A version: documents by name under one number and one digest.
+//! Versions: sets of named documents with a number and a digest.
 
 use ring::digest::{Context, SHA256};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt::{self, Write};
 
-/// The most documents of a version.
+/// The maximum number of documents in a version.
 pub const MAX_DOCUMENTS: usize = 10_000;
-/// The longest name of a document, in bytes.
+/// The maximum length of a document's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 256;
 
-/// SHA-256 over names, lengths and texts, in hex.
+/// The hexadecimal SHA-256 over the names and texts of documents, each with its length.
 pub type Digest = String;
 
-/// Which version: later ones are greater. The epoch grows when a service has lost its numbers and begins again.
+/// Identifies a version. Later versions compare greater.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct VersionId {
-    /// Grows when a service has lost its numbers and begins again.
+    /// Incremented when a service has lost its version numbers and starts numbering again.
     pub epoch: u64,
-    /// Grows with each version.
+    /// Incremented with each version.
     pub number: u64,
-    /// Of the documents.
+    /// The digest of the documents.
     pub digest: Digest,
 }
 
 impl VersionId {
-    /// Its place in the order, whatever its content.
+    /// The epoch and the number, which order versions regardless of their content.
     pub fn sequence(&self) -> (u64, u64) {
         (self.epoch, self.number)
     }
@@ -40,16 +40,16 @@
 /// Documents by name, such as `operators.kdl`.
 pub type Documents = BTreeMap<String, String>;
 
-/// Documents under a number and a digest.
+/// A set of documents with a number and a digest.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Version {
-    /// The number and the digest.
+    /// The epoch, the number and the digest.
     pub id: VersionId,
-    /// All of them: a version is complete.
+    /// All documents of the version.
     pub documents: Documents,
 }
 
-/// The digest of documents.
+/// Computes the digest of documents.
 pub fn digest(documents: &Documents) -> Digest {
     let mut context = Context::new(&SHA256);
     for (name, text) in documents {
@@ -60,24 +60,24 @@
     }
     let mut digest = Digest::new();
     for byte in context.finish().as_ref() {
-        // Writing to a string does not fail.
+        // Writing to a `String` never fails.
         let _ = write!(digest, "{byte:02x}");
     }
     digest
 }
 
 impl Version {
-    /// A version of these documents.
+    /// Creates a version and computes its digest.
     pub fn new(epoch: u64, number: u64, documents: Documents) -> Version {
         Version { id: VersionId { epoch, number, digest: digest(&documents) }, documents }
     }
 
-    /// Whether its documents have its digest.
+    /// Whether the documents match the digest.
     pub fn is_intact(&self) -> bool {
         digest(&self.documents) == self.id.digest
     }
 
-    /// The size of all names and documents, in bytes.
+    /// The total size of all names and documents, in bytes.
     pub fn size(&self) -> usize {
         self.documents.iter().map(|(name, text)| name.len() + text.len()).sum()
     }
--- a/crates/stream/tests/message.rs
+++ b/crates/stream/tests/message.rs
@@ -1,4 +1,4 @@
-//! Framing of messages.
+//! Framing of protocol messages.
 
 use proptest::prelude::*;
 use sagearch_stream::message::{Decoder, FromGateway, FromService, encode};
@@ -9,32 +9,32 @@
 }
 
 #[test]
-fn frames_in_any_pieces_are_decoded() {
-    let said = [
+fn decoder_of_frames_split_at_any_size_returns_every_message() {
+    let messages = [
         FromGateway::Heartbeat { requests: 7, failed: 1 },
         FromGateway::Nack { nonce: 3, id: version(2).id, cause: "f:1:1: \"x\"".into() },
     ];
-    let bytes: Vec<u8> = said.iter().flat_map(|message| encode(message).unwrap()).collect();
+    let bytes: Vec<u8> = messages.iter().flat_map(|message| encode(message).unwrap()).collect();
     for size in 1..bytes.len() {
-        let (mut decoder, mut got) = (Decoder::default(), Vec::new());
-        for piece in bytes.chunks(size) {
-            decoder.push(piece);
+        let (mut decoder, mut received) = (Decoder::default(), Vec::new());
+        for part in bytes.chunks(size) {
+            decoder.push(part);
             while let Some(message) = decoder.next_message::<FromGateway>().unwrap() {
-                got.push(message);
+                received.push(message);
             }
         }
-        assert_eq!(got, said, "in pieces of {size}");
+        assert_eq!(received, messages, "split into {size} bytes");
     }
-    let mut large = Decoder::default();
-    large.push(&u32::MAX.to_be_bytes());
-    assert!(large.next_message::<FromGateway>().is_err());
+    let mut oversized = Decoder::default();
+    oversized.push(&u32::MAX.to_be_bytes());
+    assert!(oversized.next_message::<FromGateway>().is_err());
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn any_bytes_are_decoded_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn decoder_of_arbitrary_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let mut decoder = Decoder::default();
         decoder.push(&bytes);
         let _ = decoder.next_message::<FromService>();
--- a/crates/stream/tests/rollout.rs
+++ b/crates/stream/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Stages of a rollout.
+//! Rollout stages and their decisions.
 
 use rstest::rstest;
 use sagearch_stream::rollout::{Decision, Plan, RollbackCause, Rollout, StageHealth, rank};
@@ -24,34 +24,34 @@
     Decision::RollBack(RollbackCause::FailureRise { failed_percent: 13.0, failed_percent_before: 10.0 }))]
 #[case::within_the_rise(StageHealth { gateways: 1, updated: 1, requests: 100, failed: 12, requests_before: 100, failed_before: 10, ..StageHealth::default() }, 10, Decision::Wait)]
 #[case::too_few_requests(StageHealth { gateways: 1, updated: 1, requests: 49, failed: 49, ..StageHealth::default() }, 10, Decision::Wait)]
-fn stage_health_decides_about_the_rollout(
+fn evaluation_of_stage_health_returns_the_decision(
     #[case] health: StageHealth,
     #[case] now: u64,
-    #[case] want: Decision,
+    #[case] expected: Decision,
 ) {
-    assert_eq!(Rollout::new(plan(), 0).evaluate(health, now), want);
+    assert_eq!(Rollout::new(plan(), 0).evaluate(health, now), expected);
 }
 
 #[rstest]
 #[case::nacks(RollbackCause::Nacks { nacks: 2 }, "2 gateways have turned it down")]
 #[case::failure_rise(RollbackCause::FailureRise { failed_percent: 13.0, failed_percent_before: 10.0 }, "13.0% of requests fail, 10.0% did before")]
 #[case::timeout(RollbackCause::StageTimedOut { updated: 2, gateways: 3 }, "only 2 of 3 gateways have it in time")]
-fn rollback_cause_as_text_is_as_stored(#[case] cause: RollbackCause, #[case] text: &str) {
+fn rollback_cause_is_formatted_as_stored(#[case] cause: RollbackCause, #[case] text: &str) {
     assert_eq!(cause.to_string(), text);
 }
 
 #[test]
-fn healthy_stages_follow_one_another_until_complete() {
-    let all = StageHealth { gateways: 3, updated: 3, ..StageHealth::default() };
+fn rollout_of_healthy_gateways_advances_through_stages_until_complete() {
+    let healthy = StageHealth { gateways: 3, updated: 3, ..StageHealth::default() };
     let mut rollout = Rollout::new(plan(), 0);
-    assert_eq!(rollout.evaluate(all, 50), Decision::Wait);
-    assert_eq!(rollout.evaluate(all, 150), Decision::NextStage);
-    assert_eq!((rollout.percentage(), rollout.evaluate(all, 200)), (100, Decision::Wait));
-    assert_eq!(rollout.evaluate(all, 300), Decision::Complete);
-    let names: Vec<String> = (0..10_000).map(|n| format!("gateway-{n}")).collect();
-    let tenth = names.iter().filter(|name| rank(name) < 10).count();
-    assert!((850..1_150).contains(&tenth), "{tenth} of 10,000");
-    for bad in [vec![], vec![50], vec![0, 100], vec![50, 50, 100], vec![60, 40, 100]] {
-        assert!(Plan { stages: bad, ..plan() }.validate().is_err());
+    assert_eq!(rollout.evaluate(healthy, 50), Decision::Wait);
+    assert_eq!(rollout.evaluate(healthy, 150), Decision::NextStage);
+    assert_eq!((rollout.percentage(), rollout.evaluate(healthy, 200)), (100, Decision::Wait));
+    assert_eq!(rollout.evaluate(healthy, 300), Decision::Complete);
+    let names: Vec<String> = (0..10_000).map(|index| format!("gateway-{index}")).collect();
+    let first_stage = names.iter().filter(|name| rank(name) < 10).count();
+    assert!((850..1_150).contains(&first_stage), "{first_stage} of 10,000 gateways in the first stage");
+    for stages in [vec![], vec![50], vec![0, 100], vec![50, 50, 100], vec![60, 40, 100]] {
+        assert!(Plan { stages, ..plan() }.validate().is_err());
     }
 }
--- a/crates/stream/tests/store.rs
+++ b/crates/stream/tests/store.rs
@@ -1,4 +1,4 @@
-//! Stored versions: damaged files, full and read-only disks.
+//! Stored versions with damaged files and on full or read-only disks.
 
 use proptest::prelude::*;
 use sagearch_folder::{FileStore, Folder};
@@ -8,8 +8,7 @@
 use std::collections::BTreeMap;
 use std::io;
 
-/// A folder in memory that can be full or read-only. Writes that are cut short are `sagearch-folder`'s to undo, and tested
-/// there.
+/// An in-memory folder that can be full or read-only. `sagearch-folder` handles partial writes, and tests them.
 #[derive(Default)]
 struct MemoryFolder {
     files: RefCell<BTreeMap<String, Vec<u8>>>,
@@ -46,56 +45,64 @@
     Version::new(1, number, Documents::from([("d.kdl".into(), format!("limits lookups={number}"))]))
 }
 
-fn numbers(disk: &MemoryFolder) -> Vec<u64> {
+fn stored_numbers(disk: &MemoryFolder) -> Vec<u64> {
     load_versions(disk).versions.iter().map(|version| version.id.number).collect()
 }
 
 #[test]
-fn damaged_newest_version_is_unusable_and_the_one_before_is_loaded() {
+fn damaged_newest_version_is_reported_and_the_previous_one_is_loaded() {
     let disk = MemoryFolder::default();
     for number in 1..=7 {
         store_version(&disk, &version(number), 3, 1).unwrap();
     }
-    assert_eq!(numbers(&disk), [7, 6, 5]);
+    assert_eq!(stored_numbers(&disk), [7, 6, 5]);
     let newest = disk.list().unwrap().pop().unwrap();
-    let good = disk.read(&newest).unwrap();
-    let spoil = |bytes: Vec<u8>| {
+    let intact = disk.read(&newest).unwrap();
+    let load_damaged = |bytes: Vec<u8>| {
         disk.files.borrow_mut().insert(newest.clone(), bytes);
         let stored = load_versions(&disk);
         assert_eq!(stored.versions[0].id.number, 6);
         stored.unusable[0].error.clone()
     };
-    for cut in [0, 3, 5, 20, 40, good.len() - 1] {
-        assert_eq!(spoil(good[..cut].to_vec()), FileError::Truncated, "cut at {cut}");
+    for length in [0, 3, 5, 20, 40, intact.len() - 1] {
+        assert_eq!(
+            load_damaged(intact[..length].to_vec()),
+            FileError::Truncated,
+            "truncated to {length} bytes"
+        );
     }
-    let mut newer = good.clone();
-    newer[5] = 9;
-    assert_eq!(spoil(newer), FileError::UnsupportedFormat(9));
-    assert_eq!(spoil(b"something else entirely".to_vec()), FileError::UnknownFormat);
-    for at in (0..good.len()).step_by(7) {
-        let mut flipped = good.clone();
-        flipped[at] ^= 0x10;
-        spoil(flipped);
+    let mut newer_format = intact.clone();
+    newer_format[5] = 9;
+    assert_eq!(load_damaged(newer_format), FileError::UnsupportedFormat(9));
+    assert_eq!(load_damaged(b"something else entirely".to_vec()), FileError::UnknownFormat);
+    for index in (0..intact.len()).step_by(7) {
+        let mut flipped = intact.clone();
+        flipped[index] ^= 0x10;
+        load_damaged(flipped);
     }
 }
 
 #[test]
-fn full_or_read_only_disk_loses_no_stored_version() {
+fn failed_write_to_full_or_read_only_disk_keeps_stored_versions() {
     let disk = MemoryFolder::default();
     store_version(&disk, &version(1), 3, 1).unwrap();
     for capacity in [0, 1, 10, 60, 100] {
         disk.capacity.set(Some(capacity));
         assert!(store_version(&disk, &version(2), 3, 1).is_err());
-        assert_eq!((numbers(&disk), disk.list().unwrap().len()), (vec![1], 1), "no partial file is left");
+        assert_eq!(
+            (stored_numbers(&disk), disk.list().unwrap().len()),
+            (vec![1], 1),
+            "no partial file remains"
+        );
     }
     disk.capacity.set(None);
     disk.read_only.set(true);
     assert!(store_version(&disk, &version(2), 3, 1).is_err());
-    assert_eq!(numbers(&disk), [1]);
+    assert_eq!(stored_numbers(&disk), [1]);
 }
 
 #[test]
-fn stored_versions_beyond_the_limit_are_removed() {
+fn oldest_stored_versions_beyond_the_limit_are_removed() {
     let path = std::env::temp_dir().join(format!("sagearch-stream-store-{}", std::process::id()));
     let folder = Folder::new(&path);
     folder.create().unwrap();
@@ -107,14 +114,14 @@
     std::fs::remove_dir_all(&path).unwrap();
     let numbers: Vec<u64> = stored.versions.iter().map(|version| version.id.number).collect();
     assert_eq!((numbers, stored.unusable.len()), (vec![4, 3], 0));
-    assert_eq!(names.len(), 2, "nothing is left beside them");
+    assert_eq!(names.len(), 2, "no other files remain");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn any_bytes_are_decoded_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn decoding_of_arbitrary_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = decode::<Version>(&bytes);
     }
 }
