--- a/crates/stream/src/subscriber.rs
+++ b/crates/stream/src/subscriber.rs
@@ -1,19 +1,19 @@
-//! A gateway's side of the stream.
+//! The gateway's side of the stream, as a state machine.
 //!
-//! The state machine is notified of what happens ([`Input`]) and returns what to do ([`Output`]). One version is applied at a time:
+//! The state machine receives events ([`Input`]) and returns actions ([`Output`]). It applies one version at a time:
 //!
 //! ```text
 //! offered -> assembled -> Stage -> staged -> Store -> stored -> Commit -> in force -> Ack
 //!      \           \         \
-//!       Nack        Nack      Nack          (a Store that fails is reported, and the version goes on in memory)
+//!       Nack        Nack      Nack          (a failed Store is reported, and the version is committed anyway)
 //! ```
 //!
-//! A version that is in force and not stored is stored again with backoff, until it is stored or a newer one is.
+//! A version that is in force but could not be stored is retried with backoff until it or a newer one is stored.
 //!
-//! Of versions that come while one is applied only the newest waits; the others are skipped. A version
-//! is acknowledged only once it is in force. Versions never go back: an older number is rejected, and
-//! so is the same number with other content. A crash before *stored* resumes with the version of before, one after it
-//! with this one; it was never acknowledged in between.
+//! While a version is being applied, only the newest of those received waits; the others are skipped. A version is
+//! acknowledged only once it is in force. Version numbers never decrease: an older number is rejected, and so is the
+//! same number with different content. After a crash before *stored* the gateway resumes with the previous version, and
+//! after a later crash with the new one, which is not acknowledged before *stored*.
 
 mod apply;
 mod assembly;
@@ -33,24 +33,24 @@
 use rand_pcg::Pcg32;
 use std::sync::Arc;
 
-/// A gateway's own settings.
+/// The settings of a gateway's subscriber.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The gateway's name, as its certificate has it.
+    /// The gateway's name, which must match its certificate.
     pub node: String,
-    /// The gateway's process.
+    /// The id of the gateway process.
     pub instance: u64,
-    /// How many control services there are, in order of preference.
+    /// The number of control service addresses, which are indexed in order of preference.
     pub address_count: usize,
     /// The largest size of a version's documents, in bytes.
     pub max_version_bytes: usize,
-    /// Between two heartbeats, until the service sets another.
+    /// The heartbeat interval until the service sets another.
     pub heartbeat_interval: Millis,
-    /// Over which gateways come back when a service was away, until the service sets another.
+    /// The window over which gateways spread their reconnects after an outage, until the service sets another.
     pub reconnect_window: Millis,
 }
 
-/// What happens.
+/// An event that the state machine handles.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// Time has passed.
@@ -59,83 +59,83 @@
     Connected,
     /// The requested connection could not be established, or the established one is lost.
     Disconnected,
-    /// A message has come.
+    /// A message was received.
     Received(FromService),
     /// The result of [`Output::Stage`].
     Staged(Result<(), StepError>),
     /// The result of [`Output::Store`].
     Stored(Result<(), StepError>),
-    /// [`Output::Commit`] is done.
+    /// [`Output::Commit`] has completed.
     Committed,
 }
 
-/// What is to be done. Results come back as [`Input`].
+/// An action for the caller. Its result is passed back as an [`Input`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Connect to a service.
     Connect {
-        /// Its index in the order of preference.
+        /// The index of the service's address, in order of preference.
         address: usize,
     },
     /// End the connection.
     Disconnect(DisconnectReason),
     /// Send a message.
     Send(FromGateway),
-    /// Read and check it; what is in force does not change.
+    /// Parse and check a version without changing what is in force.
     Stage(Arc<Version>),
-    /// Store it on disk.
+    /// Store a version on disk.
     Store(Arc<Version>),
-    /// Bring what is staged into force.
+    /// Bring the staged version into force.
     Commit(Arc<Version>),
-    /// For the log and the counters.
+    /// Report a notice in the log and the metrics.
     Notice(Notice),
 }
 
-/// What operators want to know.
+/// An event to report to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
-    /// It is in force.
+    /// The version is in force.
     InForce(VersionId),
-    /// It was rejected.
+    /// The version was rejected.
     Rejected(VersionId, Rejection),
-    /// It was not applied, as a newer one has come.
+    /// The version was not applied because a newer one superseded it.
     Skipped(VersionId),
-    /// Two services disagree about what a number holds.
+    /// Two services use the same number for different content.
     Conflict {
-        /// The newest complete version here.
+        /// The newest complete version at the gateway.
         current: VersionId,
-        /// The other of the same number.
+        /// The offered version of the same number.
         offered: VersionId,
     },
-    /// It is in force, and could not be stored: that is tried again.
+    /// The version comes into force but could not be stored; storing it is retried.
     StoreFailed(VersionId, StepError),
-    /// Storing it failed at first, and has succeeded now.
+    /// The version was stored by a retry.
     StoredOnRetry(VersionId),
 }
 
-/// The state machine of a gateway's side.
+/// The state machine of the gateway's side.
 pub struct Subscriber {
     settings: Settings,
     random: Pcg32,
     connection: Connection,
-    /// The index of the service that is connected, or is tried next.
+    /// The index of the service that is connected or is tried next.
     address: usize,
-    /// Since a service last welcomed this gateway.
+    /// The number of failed connection attempts since a service last welcomed this gateway.
     failed_attempts: u32,
-    /// It was connected before: other gateways were, too, and come back at the same time.
+    /// Whether the gateway was ever welcomed. Other gateways then were too, and reconnect at the same time.
     was_connected: bool,
     in_force: Option<Arc<Version>>,
     nacked: Option<VersionId>,
     assembly: Option<Assembly>,
     applying: Option<Applying>,
-    /// The newest that waits for its turn.
+    /// The newest complete version that waits to be applied.
     waiting: Option<Waiting>,
     pending_store: Option<PendingStore>,
     counts: RequestCounts,
 }
 
 impl Subscriber {
-    /// One that goes on from the version that is in force already, if any.
+    /// Creates a subscriber that resumes from the version in force, if there is one.
     pub fn new(settings: Settings, in_force: Option<Arc<Version>>, seed: u64, now: Millis) -> Subscriber {
         Subscriber {
             settings,
@@ -154,40 +154,40 @@
         }
     }
 
-    /// The version in force.
+    /// The version that is in force, if any.
     pub fn in_force(&self) -> Option<&Arc<Version>> {
         self.in_force.as_ref()
     }
 
-    /// The index of the service that is connected and has welcomed this gateway.
+    /// The index of the connected service, once it has welcomed this gateway.
     pub fn connected(&self) -> Option<usize> {
         matches!(self.connection, Connection::Established { welcomed: true, .. }).then_some(self.address)
     }
 
-    /// Sets what the next heartbeat reports.
+    /// Sets the request counters that the next heartbeat reports.
     pub fn set_counts(&mut self, counts: RequestCounts) {
         self.counts = counts;
     }
 
-    /// Handles one input at a point in time, and returns what is to be done, in order.
+    /// Handles one input and returns the resulting actions in order.
     pub fn handle(&mut self, now: Millis, input: Input) -> Vec<Output> {
-        let mut out = Vec::new();
+        let mut outputs = Vec::new();
         match input {
-            Input::Tick => self.tick(now, &mut out),
-            Input::Connected => self.connected_at(now, &mut out),
+            Input::Tick => self.tick(now, &mut outputs),
+            Input::Connected => self.connection_established(now, &mut outputs),
             Input::Disconnected => self.disconnected(now, None),
             Input::Received(message) => {
                 if let Connection::Established { last_received, .. } = &mut self.connection {
                     *last_received = now;
-                    self.received(now, message, &mut out);
+                    self.handle_message(now, message, &mut outputs);
                 }
             }
-            Input::Staged(result) => self.staged(result, &mut out),
-            Input::Stored(result) => self.stored(now, result, &mut out),
-            Input::Committed => self.committed(&mut out),
+            Input::Staged(result) => self.staged(result, &mut outputs),
+            Input::Stored(result) => self.stored(now, result, &mut outputs),
+            Input::Committed => self.committed(&mut outputs),
         }
-        self.apply_next(&mut out);
-        self.retry_store(now, &mut out);
-        out
+        self.apply_next(&mut outputs);
+        self.retry_store(now, &mut outputs);
+        outputs
     }
 }
--- a/crates/stream/src/subscriber/apply.rs
+++ b/crates/stream/src/subscriber/apply.rs
@@ -1,4 +1,4 @@
-//! The steps by which a complete version comes into force and is stored.
+//! Applies complete versions: staging, storing, committing, and retries of failed stores.
 
 use super::{Notice, Output, Rejection, StepError, Subscriber};
 use crate::Millis;
@@ -6,22 +6,22 @@
 use crate::version::Version;
 use std::sync::Arc;
 
-/// The first pause before a version is stored again.
+/// The delay before the first retry of storing a version.
 const INITIAL_STORE_BACKOFF: Millis = 100;
-/// The longest pause before a version is stored again.
+/// The maximum delay between retries of storing a version.
 const MAX_STORE_BACKOFF: Millis = 10_000;
 
-/// What is awaited for the version that is being applied.
+/// The pending step of the version that is being applied.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Step {
     Staging,
     Storing,
     Committing,
-    /// It is in force already, and could not be stored before.
+    /// Storing again a version that is already in force.
     RetryingStore,
 }
 
-/// A complete version whose turn has not come.
+/// A complete version that waits to be applied.
 #[derive(Debug)]
 pub(super) struct Waiting {
     pub(super) nonce: u64,
@@ -31,79 +31,81 @@
 /// The version that is being applied.
 #[derive(Debug)]
 pub(super) struct Applying {
-    /// Of the offer that is to be answered; `None` where it is only stored again.
+    /// The nonce of the offer to answer, or `None` if the version is only being stored again.
     pub(super) nonce: Option<u64>,
     pub(super) version: Arc<Version>,
     pub(super) step: Step,
 }
 
-/// A version that could not be stored.
+/// A version in force that could not be stored and is retried.
 #[derive(Debug)]
 pub(super) struct PendingStore {
     version: Arc<Version>,
-    /// When it is stored again.
+    /// When the next retry is due.
     due: Millis,
-    pause: Millis,
+    backoff: Millis,
 }
 
 impl Subscriber {
-    /// Applies the version that waits, once nothing is under way.
-    pub(super) fn apply_next(&mut self, out: &mut Vec<Output>) {
+    /// Starts to apply the waiting version unless another is being applied.
+    pub(super) fn apply_next(&mut self, outputs: &mut Vec<Output>) {
         if self.applying.is_some() {
             return;
         }
         let Some(Waiting { nonce, version }) = self.waiting.take() else { return };
-        out.push(Output::Stage(version.clone()));
+        outputs.push(Output::Stage(version.clone()));
         self.applying = Some(Applying { nonce: Some(nonce), version, step: Step::Staging });
     }
 
-    pub(super) fn staged(&mut self, result: Result<(), StepError>, out: &mut Vec<Output>) {
-        let Some(applying) = self.applying.as_mut().filter(|it| it.step == Step::Staging) else { return };
+    pub(super) fn staged(&mut self, result: Result<(), StepError>, outputs: &mut Vec<Output>) {
+        let Some(applying) = self.applying.as_mut().filter(|applying| applying.step == Step::Staging) else {
+            return;
+        };
         match result {
             Ok(()) => {
                 applying.step = Step::Storing;
-                out.push(Output::Store(applying.version.clone()));
+                outputs.push(Output::Store(applying.version.clone()));
             }
             Err(cause) => {
                 let Some(Applying { nonce, version, .. }) = self.applying.take() else { return };
-                self.reject(nonce.unwrap_or(0), version.id.clone(), Rejection::Staging(cause), out);
+                self.reject(nonce.unwrap_or(0), version.id.clone(), Rejection::Staging(cause), outputs);
             }
         }
     }
 
-    pub(super) fn stored(&mut self, now: Millis, result: Result<(), StepError>, out: &mut Vec<Output>) {
+    pub(super) fn stored(&mut self, now: Millis, result: Result<(), StepError>, outputs: &mut Vec<Output>) {
         match self.applying.as_ref().map(|applying| applying.step) {
-            Some(Step::Storing) => self.first_stored(now, result, out),
-            Some(Step::RetryingStore) => self.stored_on_retry(now, &result, out),
+            Some(Step::Storing) => self.first_stored(now, result, outputs),
+            Some(Step::RetryingStore) => self.stored_on_retry(now, &result, outputs),
             _ => {}
         }
     }
 
-    /// The version is committed whether or not it is stored: a disk that is full must not delay a revocation.
-    fn first_stored(&mut self, now: Millis, result: Result<(), StepError>, out: &mut Vec<Output>) {
+    /// Commits the version whether or not it was stored, because a full disk must not delay a revocation.
+    fn first_stored(&mut self, now: Millis, result: Result<(), StepError>, outputs: &mut Vec<Output>) {
         let Some(applying) = self.applying.as_mut() else { return };
         applying.step = Step::Committing;
         let version = applying.version.clone();
         self.pending_store = None;
         if let Err(cause) = result {
-            out.push(Output::Notice(Notice::StoreFailed(version.id.clone(), cause)));
+            outputs.push(Output::Notice(Notice::StoreFailed(version.id.clone(), cause)));
             self.pending_store = Some(PendingStore::new(now, version.clone()));
         }
-        out.push(Output::Commit(version));
+        outputs.push(Output::Commit(version));
     }
 
-    fn stored_on_retry(&mut self, now: Millis, result: &Result<(), StepError>, out: &mut Vec<Output>) {
+    fn stored_on_retry(&mut self, now: Millis, result: &Result<(), StepError>, outputs: &mut Vec<Output>) {
         let Some(applying) = self.applying.take() else { return };
         if result.is_ok() {
             self.pending_store = None;
-            out.push(Output::Notice(Notice::StoredOnRetry(applying.version.id.clone())));
+            outputs.push(Output::Notice(Notice::StoredOnRetry(applying.version.id.clone())));
         } else if let Some(pending_store) = &mut self.pending_store {
             pending_store.store_failed(now);
         }
     }
 
-    /// Stores again what could not be stored, where it is due and nothing else is under way.
-    pub(super) fn retry_store(&mut self, now: Millis, out: &mut Vec<Output>) {
+    /// Starts a retry of a failed store if it is due and no version is being applied.
+    pub(super) fn retry_store(&mut self, now: Millis, outputs: &mut Vec<Output>) {
         let Some(pending_store) =
             self.pending_store.as_ref().filter(|pending_store| now >= pending_store.due)
         else {
@@ -113,32 +115,33 @@
             return;
         }
         let version = pending_store.version.clone();
-        out.push(Output::Store(version.clone()));
+        outputs.push(Output::Store(version.clone()));
         self.applying = Some(Applying { nonce: None, version, step: Step::RetryingStore });
     }
 
-    pub(super) fn committed(&mut self, out: &mut Vec<Output>) {
-        let Some(Applying { nonce, version, .. }) = self.applying.take_if(|it| it.step == Step::Committing)
+    pub(super) fn committed(&mut self, outputs: &mut Vec<Output>) {
+        let Some(Applying { nonce, version, .. }) =
+            self.applying.take_if(|applying| applying.step == Step::Committing)
         else {
             return;
         };
         let id = version.id.clone();
         self.in_force = Some(version);
-        out.push(Output::Notice(Notice::InForce(id.clone())));
+        outputs.push(Output::Notice(Notice::InForce(id.clone())));
         if let Some(nonce) = nonce {
-            // Where the connection is gone, the next one begins with what is in force.
-            out.push(Output::Send(FromGateway::Ack { nonce, id }));
+            // If the connection is lost, the next session's first message reports the version in force instead.
+            outputs.push(Output::Send(FromGateway::Ack { nonce, id }));
         }
     }
 }
 
 impl PendingStore {
     fn new(now: Millis, version: Arc<Version>) -> PendingStore {
-        PendingStore { version, due: now + INITIAL_STORE_BACKOFF, pause: INITIAL_STORE_BACKOFF }
+        PendingStore { version, due: now + INITIAL_STORE_BACKOFF, backoff: INITIAL_STORE_BACKOFF }
     }
 
     fn store_failed(&mut self, now: Millis) {
-        self.pause = (self.pause * 2).min(MAX_STORE_BACKOFF);
-        self.due = now + self.pause;
+        self.backoff = (self.backoff * 2).min(MAX_STORE_BACKOFF);
+        self.due = now + self.backoff;
     }
 }
--- a/crates/stream/src/subscriber/assembly.rs
+++ b/crates/stream/src/subscriber/assembly.rs
@@ -1,4 +1,4 @@
-//! Offers and their chunks, until a version is complete.
+//! Assembles offered versions from their chunks.
 
 use super::apply::Waiting;
 use super::{DisconnectReason, Notice, Output, Rejection, Subscriber};
@@ -8,17 +8,17 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// What a service offers.
+/// A version that a service offers.
 pub(super) struct Offer {
     pub(super) nonce: u64,
     pub(super) id: VersionId,
-    /// The digest of the version to which the documents are added; `None`: none, all documents come.
+    /// The digest of the version that the delta applies to, or `None` if all documents are sent.
     pub(super) base: Option<String>,
-    /// The documents that come, in this order.
+    /// The names of the documents that are sent, in this order.
     pub(super) names: Vec<String>,
-    /// Documents of the base that are gone.
+    /// The names of documents of the base that the version no longer contains.
     pub(super) removed: Vec<String>,
-    /// The size of all documents of the version.
+    /// The total size of the version, in bytes.
     pub(super) bytes: u64,
 }
 
@@ -30,18 +30,18 @@
     pub(super) last: bool,
 }
 
-/// A version that is not complete yet.
+/// A version whose documents are being received.
 #[derive(Debug)]
 pub(super) struct Assembly {
     nonce: u64,
     id: VersionId,
-    /// Those of the base, and those that have come.
+    /// The documents of the base and the received ones.
     documents: Documents,
-    /// Names of documents that have not come, in order.
+    /// The names of documents that have not been received completely, in order.
     missing: VecDeque<String>,
-    /// Of the document whose last chunk has not come.
+    /// The received text of the document whose last chunk is missing.
     partial: String,
-    /// The size of the chunks that have come.
+    /// The total size of the received chunks, in bytes.
     bytes: usize,
 }
 
@@ -72,63 +72,63 @@
 }
 
 impl Subscriber {
-    /// The newest complete version, in force or not yet.
+    /// The id of the newest complete version, whether in force or not.
     fn newest(&self) -> Option<&VersionId> {
         let waiting = self.waiting.as_ref().map(|waiting| &waiting.version.id);
         let applying = self.applying.as_ref().map(|applying| &applying.version.id);
         waiting.or(applying).or(self.in_force.as_ref().map(|version| &version.id))
     }
 
-    /// A complete version, by its digest.
+    /// Finds a complete version by its digest.
     fn version_by_digest(&self, digest: &str) -> Option<&Arc<Version>> {
         let waiting = self.waiting.iter().map(|waiting| &waiting.version);
         let applying = self.applying.iter().map(|applying| &applying.version);
         waiting.chain(applying).chain(self.in_force.iter()).find(|version| version.id.digest == digest)
     }
 
-    pub(super) fn reject(&mut self, nonce: u64, id: VersionId, reason: Rejection, out: &mut Vec<Output>) {
+    pub(super) fn reject(&mut self, nonce: u64, id: VersionId, reason: Rejection, outputs: &mut Vec<Output>) {
         let cause = reason.to_string();
-        out.push(Output::Notice(Notice::Rejected(id.clone(), reason)));
+        outputs.push(Output::Notice(Notice::Rejected(id.clone(), reason)));
         self.nacked = Some(id.clone());
-        out.push(Output::Send(FromGateway::Nack { nonce, id, cause }));
+        outputs.push(Output::Send(FromGateway::Nack { nonce, id, cause }));
     }
 
-    pub(super) fn offer_received(&mut self, now: Millis, offer: Offer, out: &mut Vec<Output>) {
+    pub(super) fn offer_received(&mut self, now: Millis, offer: Offer, outputs: &mut Vec<Output>) {
         self.assembly = None;
         let too_long = |name: &String| name.len() > MAX_NAME_BYTES;
         if offer.names.len() > MAX_DOCUMENTS || offer.names.iter().any(too_long) {
-            return self.protocol_error(now, DisconnectReason::OfferTooLarge, out);
+            return self.protocol_error(now, DisconnectReason::OfferTooLarge, outputs);
         }
         if self.in_force.as_ref().is_some_and(|version| version.id == offer.id) {
-            // A duplicate: it is in force.
-            return out.push(Output::Send(FromGateway::Ack { nonce: offer.nonce, id: offer.id }));
+            // A repeated offer of the version in force.
+            return outputs.push(Output::Send(FromGateway::Ack { nonce: offer.nonce, id: offer.id }));
         }
         if self.newest() == Some(&offer.id) {
-            return self.offered_again(&offer);
+            return self.update_nonce(&offer);
         }
         match self.base_documents(&offer) {
             Ok(documents) => self.assembly = Some(Assembly::new(offer, documents)),
             Err(reason) => {
                 if let Rejection::Conflict(current) = &reason {
                     let (current, offered) = (current.clone(), offer.id.clone());
-                    out.push(Output::Notice(Notice::Conflict { current, offered }));
+                    outputs.push(Output::Notice(Notice::Conflict { current, offered }));
                 }
-                self.reject(offer.nonce, offer.id, reason, out);
+                self.reject(offer.nonce, offer.id, reason, outputs);
             }
         }
     }
 
-    /// A version that is on its way already: it is acknowledged under the newer nonce once it is in force.
-    fn offered_again(&mut self, offer: &Offer) {
-        if let Some(applying) = self.applying.as_mut().filter(|it| it.version.id == offer.id) {
+    /// Handles a repeated offer of a version that is not in force yet: it is acknowledged with the newer nonce.
+    fn update_nonce(&mut self, offer: &Offer) {
+        if let Some(applying) = self.applying.as_mut().filter(|applying| applying.version.id == offer.id) {
             applying.nonce = Some(offer.nonce);
         }
-        if let Some(waiting) = self.waiting.as_mut().filter(|it| it.version.id == offer.id) {
+        if let Some(waiting) = self.waiting.as_mut().filter(|waiting| waiting.version.id == offer.id) {
             waiting.nonce = offer.nonce;
         }
     }
 
-    /// The documents to which those of an offer are added, or why the offer is rejected.
+    /// The base documents of an offer, or the reason to reject it.
     fn base_documents(&self, offer: &Offer) -> Result<Documents, Rejection> {
         if let Some(newest) = self.newest() {
             if offer.id.sequence() == newest.sequence() {
@@ -147,39 +147,39 @@
         Ok(version.documents.clone())
     }
 
-    pub(super) fn chunk_received(&mut self, now: Millis, chunk: Chunk, out: &mut Vec<Output>) {
-        // Chunks of an offer that has been rejected may still be on their way.
+    pub(super) fn chunk_received(&mut self, now: Millis, chunk: Chunk, outputs: &mut Vec<Output>) {
+        // Chunks of a rejected offer may still arrive.
         let Some(assembly) = self.assembly.as_mut().filter(|assembly| assembly.nonce == chunk.nonce) else {
             return;
         };
         if assembly.missing.front() != Some(&chunk.name) || chunk.text.len() > MAX_CHUNK_BYTES {
-            return self.protocol_error(now, DisconnectReason::UnexpectedChunk, out);
+            return self.protocol_error(now, DisconnectReason::UnexpectedChunk, outputs);
         }
         assembly.bytes += chunk.text.len();
         let limit = self.settings.max_version_bytes;
         if assembly.bytes > limit {
             let id = assembly.id.clone();
             self.assembly = None;
-            return self.reject(chunk.nonce, id, Rejection::TooMuchReceived { limit }, out);
+            return self.reject(chunk.nonce, id, Rejection::TooMuchReceived { limit }, outputs);
         }
         assembly.add(chunk);
     }
 
-    pub(super) fn transfer_done(&mut self, now: Millis, nonce: u64, out: &mut Vec<Output>) {
+    pub(super) fn transfer_done(&mut self, now: Millis, nonce: u64, outputs: &mut Vec<Output>) {
         let Some(assembly) = self.assembly.take_if(|assembly| assembly.nonce == nonce) else { return };
         if !assembly.missing.is_empty() {
-            return self.protocol_error(now, DisconnectReason::IncompleteTransfer, out);
+            return self.protocol_error(now, DisconnectReason::IncompleteTransfer, outputs);
         }
         let Assembly { id, documents, .. } = assembly;
         if digest(&documents) != id.digest {
-            return self.reject(nonce, id, Rejection::DigestMismatch, out);
+            return self.reject(nonce, id, Rejection::DigestMismatch, outputs);
         }
         let version = Arc::new(Version { id, documents });
-        if let Some(older) = self.waiting.replace(Waiting { nonce, version }) {
-            // Versions come faster than they are applied: only the newest one is.
-            let id = older.version.id.clone();
-            out.push(Output::Notice(Notice::Skipped(id.clone())));
-            out.push(Output::Send(FromGateway::Skip { nonce: older.nonce, id }));
+        if let Some(superseded) = self.waiting.replace(Waiting { nonce, version }) {
+            // Versions arrive faster than they can be applied: only the newest one is kept.
+            let id = superseded.version.id.clone();
+            outputs.push(Output::Notice(Notice::Skipped(id.clone())));
+            outputs.push(Output::Send(FromGateway::Skip { nonce: superseded.nonce, id }));
         }
     }
 }
--- a/crates/stream/src/subscriber/connection.rs
+++ b/crates/stream/src/subscriber/connection.rs
@@ -1,4 +1,4 @@
-//! The connection to the control services: attempts, backoff, heartbeats, and the messages that come in.
+//! The connection to the control services: connection attempts, backoff, heartbeats and received messages.
 
 use super::assembly::{Chunk, Offer};
 use super::{DisconnectReason, Output, Subscriber};
@@ -8,20 +8,20 @@
 use rand::Rng;
 use std::ops::RangeInclusive;
 
-/// The longest pause between two connection attempts.
+/// The maximum delay between two connection attempts.
 pub const MAX_BACKOFF: Millis = 60_000;
-/// The longest that a connection attempt may take.
+/// The timeout of a connection attempt.
 pub const CONNECT_TIMEOUT: Millis = 5_000;
-/// The longest pause after the first failed attempt.
+/// The base of the exponential backoff, which is doubled from the first failed attempt on.
 const INITIAL_BACKOFF: Millis = 200;
-/// Heartbeat intervals without a message after which the connection is given up.
+/// The number of heartbeat intervals without a message after which the connection is closed.
 const MISSED_HEARTBEATS: Millis = 3;
 
-/// The heartbeat interval that a service may set, in milliseconds.
+/// The range of heartbeat intervals that a service may set.
 const HEARTBEAT_INTERVALS: RangeInclusive<Millis> = 20..=3_600_000;
-/// The longest reconnect window that a service may set.
+/// The maximum reconnect window that a service may set.
 const MAX_RECONNECT_WINDOW: Millis = 3_600_000;
-/// Doublings of the backoff are counted up to here: far beyond the longest pause.
+/// The maximum number of backoff doublings, which is enough to exceed [`MAX_BACKOFF`] and avoids an overflow.
 const MAX_DOUBLINGS: u32 = 16;
 
 /// The connection to one of the services.
@@ -33,15 +33,15 @@
 }
 
 impl Subscriber {
-    /// A random part of a span, so that gateways don't act all at once.
-    pub(super) fn random_part(&mut self, span: Millis) -> Millis {
-        self.random.random_range(0..=span)
+    /// A random delay of up to `max_delay`, so that gateways don't act at the same time.
+    pub(super) fn random_delay(&mut self, max_delay: Millis) -> Millis {
+        self.random.random_range(0..=max_delay)
     }
 
-    /// A connection is established: the gateway introduces itself.
-    pub(super) fn connected_at(&mut self, now: Millis, out: &mut Vec<Output>) {
+    /// Sends the first message on an established connection.
+    pub(super) fn connection_established(&mut self, now: Millis, outputs: &mut Vec<Output>) {
         self.connection = Connection::Established { last_received: now, last_sent: now, welcomed: false };
-        out.push(Output::Send(FromGateway::Hello {
+        outputs.push(Output::Send(FromGateway::Hello {
             protocol: PROTOCOL,
             node: self.settings.node.clone(),
             instance: self.settings.instance,
@@ -50,22 +50,22 @@
         }));
     }
 
-    pub(super) fn tick(&mut self, now: Millis, out: &mut Vec<Output>) {
+    pub(super) fn tick(&mut self, now: Millis, outputs: &mut Vec<Output>) {
         let heartbeat_interval = self.settings.heartbeat_interval;
         match &mut self.connection {
             Connection::Disconnected { retry_at } if now >= *retry_at => {
                 self.connection = Connection::Connecting { started: now };
-                out.push(Output::Connect { address: self.address });
+                outputs.push(Output::Connect { address: self.address });
             }
             Connection::Connecting { started } if now >= *started + CONNECT_TIMEOUT => {
-                out.push(Output::Disconnect(DisconnectReason::ConnectTimeout));
+                outputs.push(Output::Disconnect(DisconnectReason::ConnectTimeout));
                 self.disconnected(now, None);
             }
             Connection::Established { last_received, .. }
                 if now >= *last_received + MISSED_HEARTBEATS * heartbeat_interval =>
             {
-                // The service may take messages and send none.
-                out.push(Output::Disconnect(DisconnectReason::Silent));
+                // A hung service may still accept messages without sending any.
+                outputs.push(Output::Disconnect(DisconnectReason::HeartbeatTimeout));
                 self.disconnected(now, None);
             }
             Connection::Established { last_sent, welcomed: true, .. }
@@ -73,40 +73,47 @@
             {
                 *last_sent = now;
                 let RequestCounts { requests, failed } = self.counts;
-                out.push(Output::Send(FromGateway::Heartbeat { requests, failed }));
+                outputs.push(Output::Send(FromGateway::Heartbeat { requests, failed }));
             }
             _ => {}
         }
     }
 
-    /// The connection is gone. What is being applied goes on; an incomplete version is forgotten.
+    /// Schedules a reconnect. A version that is being applied continues; an incomplete one is discarded.
     pub(super) fn disconnected(&mut self, now: Millis, retry_after: Option<Millis>) {
         let welcomed = matches!(self.connection, Connection::Established { welcomed: true, .. });
         self.assembly = None;
-        let pause = if let Some(retry_after) = retry_after {
+        let delay = if let Some(retry_after) = retry_after {
             retry_after
         } else if welcomed {
-            // Other gateways have lost theirs at the same moment: all come back spread over the window.
+            // Other gateways lost their connections at the same time: their reconnects are spread over the window.
             (self.failed_attempts, self.address) = (0, 0);
-            self.random_part(self.settings.reconnect_window)
+            self.random_delay(self.settings.reconnect_window)
         } else {
             self.failed_attempts = self.failed_attempts.saturating_add(1);
             self.address = (self.address + 1) % self.settings.address_count.max(1);
-            let longest = (INITIAL_BACKOFF << self.failed_attempts.min(MAX_DOUBLINGS)).min(MAX_BACKOFF);
-            // After a service was there, failed attempts of all gateways are spread over the window as well.
-            let longest =
-                if self.was_connected { longest.max(self.settings.reconnect_window) } else { longest };
-            self.random_part(longest)
+            let max_backoff = (INITIAL_BACKOFF << self.failed_attempts.min(MAX_DOUBLINGS)).min(MAX_BACKOFF);
+            // After an outage the failed attempts of all gateways are spread over the window as well.
+            let max_delay = if self.was_connected {
+                max_backoff.max(self.settings.reconnect_window)
+            } else {
+                max_backoff
+            };
+            self.random_delay(max_delay)
         };
         self.was_connected |= welcomed;
-        self.connection = Connection::Disconnected { retry_at: now + pause };
+        self.connection = Connection::Disconnected { retry_at: now + delay };
     }
 
-    pub(super) fn received(&mut self, now: Millis, message: FromService, out: &mut Vec<Output>) {
+    pub(super) fn handle_message(&mut self, now: Millis, message: FromService, outputs: &mut Vec<Output>) {
         match message {
             FromService::Welcome { protocol, heartbeat_ms, reconnect_window_ms } => {
                 if protocol != PROTOCOL {
-                    return self.protocol_error(now, DisconnectReason::OtherProtocol(protocol), out);
+                    return self.protocol_error(
+                        now,
+                        DisconnectReason::UnsupportedProtocol(protocol),
+                        outputs,
+                    );
                 }
                 self.settings.heartbeat_interval =
                     heartbeat_ms.clamp(*HEARTBEAT_INTERVALS.start(), *HEARTBEAT_INTERVALS.end());
@@ -117,24 +124,29 @@
                 }
             }
             FromService::Busy { retry_ms } => {
-                out.push(Output::Disconnect(DisconnectReason::Busy));
+                outputs.push(Output::Disconnect(DisconnectReason::Busy));
                 self.disconnected(now, Some(retry_ms.min(MAX_BACKOFF)));
             }
             FromService::Offer { nonce, id, base, names, removed, bytes } => {
                 let offer = Offer { nonce, id, base, names, removed, bytes };
-                self.offer_received(now, offer, out);
+                self.offer_received(now, offer, outputs);
             }
             FromService::Chunk { nonce, name, text, last } => {
-                self.chunk_received(now, Chunk { nonce, name, text, last }, out);
+                self.chunk_received(now, Chunk { nonce, name, text, last }, outputs);
             }
-            FromService::Done { nonce } => self.transfer_done(now, nonce, out),
+            FromService::Done { nonce } => self.transfer_done(now, nonce, outputs),
             FromService::Heartbeat | FromService::Reply { .. } => {}
         }
     }
 
-    /// The other side violates the protocol.
-    pub(super) fn protocol_error(&mut self, now: Millis, reason: DisconnectReason, out: &mut Vec<Output>) {
-        out.push(Output::Disconnect(reason));
+    /// Closes the connection after a protocol violation by the service.
+    pub(super) fn protocol_error(
+        &mut self,
+        now: Millis,
+        reason: DisconnectReason,
+        outputs: &mut Vec<Output>,
+    ) {
+        outputs.push(Output::Disconnect(reason));
         if let Connection::Established { welcomed, .. } = &mut self.connection {
             *welcomed = false;
         }
