--- a/crates/stream/src/service.rs
+++ b/crates/stream/src/service.rs
@@ -1,8 +1,7 @@
-//! The control service's side: which gateway is to have which version, what is sent to whom, and how a rollout goes on.
+//! The control service's side of the stream, as a state machine: target versions, transfers and rollouts.
 //!
-//! At most so many transfers are under way at once, and the others wait their turn in order. What must not be lost is
-//! stored before it is used: [`Service::prepare`] makes a version, the caller stores it, and [`Service::commit`] lets
-//! it go out.
+//! The number of concurrent transfers is limited; further ones wait in a queue. Versions are durable before they are
+//! used: [`Service::prepare`] creates a version, the caller stores it, and [`Service::commit`] starts its rollout.
 
 mod error;
 mod notice;
@@ -25,93 +24,93 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// A connection, by a number that is not used again.
+/// Identifies a session. Ids are not reused.
 pub type SessionId = u64;
 
-/// The service's settings.
+/// The settings of the service.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Between two heartbeats.
+    /// The interval between heartbeats.
     pub heartbeat_interval: Millis,
-    /// Over which gateways come back when this service was away.
+    /// The window over which gateways spread their reconnects after an outage of the service.
     pub reconnect_window: Millis,
-    /// Transfers that are under way at a time.
+    /// The maximum number of concurrent transfers.
     pub max_transfers: usize,
-    /// Sessions that are open at a time.
+    /// The maximum number of open sessions.
     pub max_sessions: usize,
-    /// Versions that stay available.
+    /// The number of versions that are retained.
     pub max_versions: usize,
-    /// The largest size of a version's documents, in bytes.
+    /// The maximum size of a version, in bytes.
     pub max_version_bytes: usize,
 }
 
-/// Who is at the other end, as its certificate says.
+/// The role of a session's peer, according to its certificate.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Role {
-    /// A gateway of that name.
+    /// A gateway with this name.
     Gateway(String),
     /// An operator.
     Operator {
-        /// As the service's settings name it.
+        /// The operator's name in the service's settings.
         name: String,
-        /// Whether it may publish and roll back.
+        /// Whether the operator may publish and roll back.
         may_change: bool,
     },
 }
 
-/// A version under way, and what of it must outlive the process.
+/// The durable state of the service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct State {
-    /// Grows when a service has lost its numbers and begins again.
+    /// Incremented when the service has lost its version numbers and starts numbering again.
     pub epoch: u64,
-    /// The last number that was given.
+    /// The last version number that was assigned.
     #[serde(rename = "last")]
     pub last_number: u64,
-    /// The number for all gateways that the rollout does not include.
+    /// The number of the version for gateways that the rollout does not include.
     pub stable: Option<u64>,
-    /// The number that is being rolled out, and how far the rollout is. It is stored as a list of the two.
+    /// The number of the version that is being rolled out, and its rollout. They are serialized as an array of the two.
     pub candidate: Option<(u64, Rollout)>,
-    /// Why the last rollout was rolled back or halted.
+    /// The reason for which the last rollout was rolled back or halted.
     pub halted: Option<String>,
 }
 
 impl State {
-    /// The number that is being rolled out.
+    /// The number of the version that is being rolled out.
     pub fn candidate_number(&self) -> Option<u64> {
         self.candidate.as_ref().map(|(number, _)| *number)
     }
 }
 
-/// What the caller is to do, in order.
+/// An action for the caller. Actions are carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// A message.
+    /// Send a message.
     Send(SessionId, FromService),
-    /// A version, chunk by chunk, as its connection takes them; then [`Service::transfer_written`].
+    /// Send the messages of a transfer as the connection accepts them, then call [`Service::transfer_written`].
     Transfer(SessionId, Transfer),
-    /// Write what waits for a connection, and close it.
+    /// Write the pending messages of a session, then close it.
     Close(SessionId, CloseReason),
-    /// The state has changed and is to be stored.
+    /// Store the changed state.
     StoreState(State),
-    /// A version has been made by a rollout that was rolled back, and is to be stored.
+    /// Store a version that was created by an automatic rollback.
     StoreVersion(Arc<Version>),
-    /// An operator publishes documents: the caller checks and prepares them, stores them and commits.
+    /// Publish an operator's documents: check them, call [`Service::prepare`], store the version and commit it.
     Publish(SessionId, Documents, Plan),
-    /// An operator goes back to the content of this number.
+    /// Roll back to the content of the version with this number, for an operator.
     Rollback(SessionId, u64),
-    /// For the log.
+    /// Log a notice.
     Notice(Notice),
 }
 
-/// A version that has been made and is not in use yet.
+/// A version that has been created but is not in use yet.
 pub struct Prepared {
-    /// To be stored first.
+    /// The version, which must be stored first.
     pub version: Arc<Version>,
-    /// To be stored once the version is: it names the version.
+    /// The state, which refers to the version and must be stored after it.
     pub state: State,
 }
 
-/// The state of a control service.
+/// The state machine of a control service.
 pub struct Service {
     settings: Settings,
     state: State,
@@ -123,14 +122,14 @@
 }
 
 impl Service {
-    /// A service that goes on from what was stored.
+    /// Creates a service that resumes from the stored state and versions.
     pub fn new(settings: Settings, mut state: State, stored: Vec<Version>, now: Millis) -> Service {
         let versions: BTreeMap<u64, Arc<Version>> = stored
             .into_iter()
             .filter(|version| version.id.epoch == state.epoch)
             .map(|version| (version.id.number, Arc::new(version)))
             .collect();
-        // The number of a version that was stored and never used is not given again.
+        // The number of a version that was stored but never used must not be assigned again.
         state.last_number = versions.keys().copied().chain([state.last_number]).max().unwrap_or(0);
         state.stable = state.stable.filter(|number| versions.contains_key(number));
         state.candidate = state.candidate.filter(|(number, _)| versions.contains_key(number));
@@ -148,29 +147,29 @@
         }
     }
 
-    /// What must outlive the process.
+    /// The state that must be durable.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// A version, by its number.
+    /// Finds a version by its number.
     pub fn version(&self, number: u64) -> Option<&Arc<Version>> {
         self.versions.get(&number)
     }
 
-    /// What a new gateway would be sent: the candidate once it is all gateways' to have, else the stable one.
+    /// The newest version in use: the candidate during a rollout, otherwise the stable version.
     pub fn newest(&self) -> Option<&Arc<Version>> {
         self.versions.get(&self.state.candidate_number().or(self.state.stable)?)
     }
 
-    /// Makes a version of documents that have been checked. It is used once [`Service::commit`] has it.
+    /// Creates a version from checked documents. It takes effect with [`Service::commit`].
     ///
     /// # Errors
-    /// [`PublishError`] for documents and plans that can't be used, and during another rollout.
+    /// [`PublishError`] for an invalid plan, documents over the limits, or while another rollout is running.
     pub fn prepare(&self, documents: Documents, plan: Plan, now: Millis) -> Result<Prepared, PublishError> {
         plan.validate()?;
         if documents.len() > MAX_DOCUMENTS || documents.keys().any(|name| name.len() > MAX_NAME_BYTES) {
-            return Err(PublishError::Documents);
+            return Err(PublishError::DocumentLimitExceeded);
         }
         if let Some(number) = self.state.candidate_number() {
             return Err(PublishError::RolloutUnderWay(number));
@@ -189,36 +188,36 @@
         Ok(Prepared { version, state })
     }
 
-    /// Makes a version with the content of one before, for all gateways at once; what is on its way is given up.
+    /// Creates a version with the content of an earlier one, for all gateways at once. A running rollout is aborted.
     ///
     /// # Errors
-    /// [`PublishError::UnknownVersion`] if there is no such version any more.
+    /// [`PublishError::UnknownVersion`] if the earlier version is unknown or no longer retained.
     pub fn prepare_rollback(&self, number: u64) -> Result<Prepared, PublishError> {
-        let before = self.versions.get(&number).ok_or(PublishError::UnknownVersion(number))?;
+        let earlier = self.versions.get(&number).ok_or(PublishError::UnknownVersion(number))?;
         let next = self.state.last_number + 1;
-        let version = Arc::new(Version::new(self.state.epoch, next, before.documents.clone()));
+        let version = Arc::new(Version::new(self.state.epoch, next, earlier.documents.clone()));
         let mut state = self.state.clone();
         (state.last_number, state.stable, state.candidate) = (next, Some(next), None);
         state.halted = None;
         Ok(Prepared { version, state })
     }
 
-    /// A version could not be stored, or not for certain: it is never used, and its number is not given again.
+    /// Discards a version that was not stored or may not have been stored. Its number is not assigned again.
     pub fn abandon(&mut self, prepared: &Prepared) {
         self.state.last_number = self.state.last_number.max(prepared.version.id.number);
     }
 
-    /// Uses a version that has been stored.
+    /// Puts a stored version into use.
     pub fn commit(&mut self, prepared: Prepared) -> Vec<Output> {
-        let mut out = Vec::new();
+        let mut outputs = Vec::new();
         self.versions.insert(prepared.version.id.number, prepared.version);
         self.state = prepared.state;
         self.prune_versions();
-        self.start_transfers(&mut out);
-        out
+        self.start_transfers(&mut outputs);
+        outputs
     }
 
-    /// Drops versions that are neither in use nor among the last.
+    /// Drops the oldest versions beyond the retention limit, except those in use.
     pub(super) fn prune_versions(&mut self) {
         let used = [self.state.stable, self.state.candidate_number()];
         while self.versions.len() > self.settings.max_versions.max(2) {
--- a/crates/stream/src/service/error.rs
+++ b/crates/stream/src/service/error.rs
@@ -1,53 +1,53 @@
-//! Why the service makes no version, and why it closes a session.
+//! Reasons for which the service rejects a publication or closes a session.
 
 use crate::rollout::PlanError;
 use crate::version::{MAX_DOCUMENTS, MAX_NAME_BYTES};
 use thiserror::Error;
 
-/// Why no version is made. Operators read it as the answer to their command.
+/// The reason for which no version is created. Its text is the answer to the operator's command.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PublishError {
-    /// The rollout's plan is not one.
+    /// The rollout plan is invalid.
     #[error(transparent)]
     Plan(#[from] PlanError),
-    /// Too many documents, or a name that is too long.
+    /// There are too many documents, or a document name is too long.
     #[error("over {MAX_DOCUMENTS} documents, or a name over {MAX_NAME_BYTES} bytes")]
-    Documents,
-    /// A rollout is under way: there is one at a time.
+    DocumentLimitExceeded,
+    /// Another rollout is running, and only one may run at a time.
     #[error("version {0} is still on its way: wait, or roll it back")]
     RolloutUnderWay(u64),
-    /// All documents together are too large.
+    /// The documents exceed the maximum size of a version.
     #[error("{bytes} bytes are over {limit}")]
     TooLarge {
-        /// The size of names and documents.
+        /// The total size of names and documents, in bytes.
         bytes: usize,
-        /// The largest size that the service's settings allow.
+        /// The maximum size of a version, in bytes.
         limit: usize,
     },
-    /// There is no version of this number to go back to.
+    /// No version with this number is retained.
     #[error("there is no version {0}")]
     UnknownVersion(u64),
 }
 
-/// Why a session is closed.
+/// The reason for which a session is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum CloseReason {
-    /// All sessions that the settings allow are open.
-    #[error("too many connections")]
+    /// The maximum number of sessions is open.
+    #[error("too many open sessions")]
     TooManySessions,
-    /// The gateway speaks another version of the protocol.
-    #[error("another protocol")]
-    OtherProtocol,
-    /// A gateway gives a name that its certificate does not have.
-    #[error("its certificate is another gateway's")]
-    OtherGateway,
-    /// An operator's documents are over the limits of a version.
-    #[error("too much for a version")]
+    /// The gateway uses a different protocol version.
+    #[error("unsupported protocol version")]
+    UnsupportedProtocol,
+    /// The name in the gateway's first message differs from the name in its certificate.
+    #[error("gateway name does not match the certificate")]
+    NodeNameMismatch,
+    /// An operator's upload exceeds the limits of a version.
+    #[error("uploaded documents exceed the limits of a version")]
     UploadTooLarge,
-    /// A message that the session's role may not send.
-    #[error("not its to say")]
+    /// The session's role may not send this message.
+    #[error("message not allowed for the role of the session")]
     NotAllowed,
-    /// No message has come for some heartbeat intervals.
-    #[error("silent")]
-    Silent,
+    /// No message was received for several heartbeat intervals.
+    #[error("no message within the heartbeat timeout")]
+    HeartbeatTimeout,
 }
--- a/crates/stream/src/service/notice.rs
+++ b/crates/stream/src/service/notice.rs
@@ -1,47 +1,47 @@
-//! What operators read of the service's decisions.
+//! Notices about the service's decisions for the operators' log.
 
 use crate::rollout::RollbackCause;
 use crate::version::VersionId;
 use std::fmt;
 
-/// A line for the log.
+/// A log entry for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
-    /// A gateway has rejected a version.
+    /// A gateway rejected a version.
     Rejected {
         /// The gateway's name.
         gateway: String,
-        /// The version.
+        /// The rejected version.
         id: VersionId,
-        /// Why, in the gateway's words.
+        /// The cause that the gateway reported.
         cause: String,
     },
-    /// A rollout's next stage begins.
+    /// The next stage of a rollout started.
     NextStage {
-        /// The number of its version.
+        /// The number of the version.
         number: u64,
         /// The stage's share of the fleet, in percent.
         percentage: u8,
     },
-    /// A rollout is complete: all gateways have its version.
+    /// A rollout is complete: it includes all gateways and has soaked.
     Complete {
-        /// The number of its version.
+        /// The number of the version.
         number: u64,
     },
-    /// A version is rolled back.
+    /// A version was rolled back.
     RolledBack {
-        /// Its number.
+        /// The number of the version.
         number: u64,
-        /// The number of the version that takes its place.
-        by: u64,
-        /// Why.
+        /// The number of the version that replaces it.
+        replacement: u64,
+        /// The cause of the rollback.
         cause: RollbackCause,
     },
-    /// The first version ever is given up: there is none to go back to.
+    /// The rollout of a version was aborted without a stable version to roll back to.
     Halted {
-        /// Its number.
+        /// The number of the version.
         number: u64,
-        /// Why.
+        /// The cause of the rollback.
         cause: RollbackCause,
     },
 }
@@ -49,11 +49,13 @@
 impl fmt::Display for Notice {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Notice::Rejected { gateway, id, cause } => write!(f, "{gateway} turns {id} down: {cause}"),
-            Notice::NextStage { number, percentage } => write!(f, "version {number} goes to {percentage}%"),
-            Notice::Complete { number } => write!(f, "version {number} is everywhere"),
-            Notice::RolledBack { number, by, cause } => {
-                write!(f, "version {number} was taken back by {by}: {cause}")
+            Notice::Rejected { gateway, id, cause } => write!(f, "{gateway} rejected version {id}: {cause}"),
+            Notice::NextStage { number, percentage } => {
+                write!(f, "rollout of version {number} advances to {percentage}% of gateways")
+            }
+            Notice::Complete { number } => write!(f, "rollout of version {number} is complete"),
+            Notice::RolledBack { number, replacement, cause } => {
+                write!(f, "version {number} was taken back by {replacement}: {cause}")
             }
             Notice::Halted { number, cause } => write!(f, "version {number} is halted: {cause}"),
         }
--- a/crates/stream/src/service/progress.rs
+++ b/crates/stream/src/service/progress.rs
@@ -1,4 +1,4 @@
-//! Time and rollouts: heartbeats, stages, and the way back.
+//! Periodic work: heartbeats, rollout stages and automatic rollbacks.
 
 use super::{CloseReason, Notice, Output, Role, Service};
 use crate::Millis;
@@ -7,11 +7,11 @@
 use crate::version::Version;
 use std::sync::Arc;
 
-/// Heartbeat intervals without a message after which a gateway's session is closed.
+/// The number of heartbeat intervals without a message after which a gateway's session is closed.
 const MISSED_HEARTBEATS: Millis = 3;
 
 impl Service {
-    /// How the gateways do that a rollout includes.
+    /// The health of the gateways that a rollout includes.
     pub(super) fn stage_health(&self, number: u64, rollout: &Rollout) -> StageHealth {
         let mut health = StageHealth::default();
         let Some(version) = self.versions.get(&number) else { return health };
@@ -35,53 +35,53 @@
         health
     }
 
-    /// Time has passed: heartbeats, and the rollout's next step.
+    /// Sends heartbeats, closes sessions that timed out and advances the rollout.
     pub fn tick(&mut self, now: Millis) -> Vec<Output> {
-        let mut out = self.heartbeats(now);
-        self.advance_rollout(now, &mut out);
-        out
+        let mut outputs = self.heartbeats(now);
+        self.advance_rollout(now, &mut outputs);
+        outputs
     }
 
     fn heartbeats(&mut self, now: Millis) -> Vec<Output> {
-        let mut out = Vec::new();
+        let mut outputs = Vec::new();
         let heartbeat_interval = self.settings.heartbeat_interval;
         for (session, peer) in &mut self.peers {
             if now >= peer.last_received + MISSED_HEARTBEATS * heartbeat_interval
                 && matches!(peer.role, Role::Gateway(_))
             {
-                out.push(Output::Close(*session, CloseReason::Silent));
+                outputs.push(Output::Close(*session, CloseReason::HeartbeatTimeout));
             } else if now >= peer.last_sent + heartbeat_interval {
                 peer.last_sent = now;
-                out.push(Output::Send(*session, FromService::Heartbeat));
+                outputs.push(Output::Send(*session, FromService::Heartbeat));
             }
         }
-        out
+        outputs
     }
 
-    fn advance_rollout(&mut self, now: Millis, out: &mut Vec<Output>) {
+    fn advance_rollout(&mut self, now: Millis, outputs: &mut Vec<Output>) {
         let Some((number, mut rollout)) = self.state.candidate.clone() else { return };
         match rollout.evaluate(self.stage_health(number, &rollout), now) {
             Decision::Wait => {
-                // Since when the stage is complete need not be stored.
+                // Not stored: the start of the soak time need not survive a restart.
                 self.state.candidate = Some((number, rollout));
                 return;
             }
             Decision::NextStage => {
-                out.push(Output::Notice(Notice::NextStage { number, percentage: rollout.percentage() }));
+                outputs.push(Output::Notice(Notice::NextStage { number, percentage: rollout.percentage() }));
                 self.state.candidate = Some((number, rollout));
             }
             Decision::Complete => {
-                out.push(Output::Notice(Notice::Complete { number }));
+                outputs.push(Output::Notice(Notice::Complete { number }));
                 (self.state.stable, self.state.candidate) = (Some(number), None);
             }
-            Decision::RollBack(cause) => self.roll_back(number, cause, out),
+            Decision::RollBack(cause) => self.roll_back(number, cause, outputs),
         }
-        out.push(Output::StoreState(self.state.clone()));
-        self.start_transfers(out);
+        outputs.push(Output::StoreState(self.state.clone()));
+        self.start_transfers(outputs);
     }
 
-    /// All gateways go back to the content of the stable version, under a new number.
-    fn roll_back(&mut self, number: u64, cause: RollbackCause, out: &mut Vec<Output>) {
+    /// Publishes the content of the stable version to all gateways under a new number.
+    fn roll_back(&mut self, number: u64, cause: RollbackCause, outputs: &mut Vec<Output>) {
         self.state.candidate = None;
         let stable = self.state.stable.and_then(|stable| self.versions.get(&stable)).cloned();
         let notice = match stable {
@@ -90,14 +90,14 @@
                 let version = Arc::new(Version::new(self.state.epoch, next, stable.documents.clone()));
                 (self.state.last_number, self.state.stable) = (next, Some(next));
                 self.versions.insert(next, version.clone());
-                out.push(Output::StoreVersion(version));
-                Notice::RolledBack { number, by: next, cause }
+                outputs.push(Output::StoreVersion(version));
+                Notice::RolledBack { number, replacement: next, cause }
             }
-            // The first version ever: there is nothing to go back to.
+            // There is no stable version to roll back to.
             None => Notice::Halted { number, cause },
         };
         self.state.halted = Some(notice.to_string());
-        out.push(Output::Notice(notice));
+        outputs.push(Output::Notice(notice));
         self.prune_versions();
     }
 }
--- a/crates/stream/src/service/session.rs
+++ b/crates/stream/src/service/session.rs
@@ -1,4 +1,4 @@
-//! Sessions: who is connected, and what gateways and operators send.
+//! Sessions of gateways and operators, and the messages received on them.
 
 use super::{CloseReason, Notice, Output, Role, Service, SessionId, Transfer};
 use crate::message::{BASE_MISSING, Command, FromGateway, FromService, PROTOCOL};
@@ -6,57 +6,57 @@
 use crate::{Millis, RequestCounts};
 use serde_json::json;
 
-/// The shortest pause that a client is given when there are too many sessions.
+/// The minimum retry delay that a client is sent when there are too many sessions.
 const MIN_RETRY: Millis = 1_000;
-/// A prime by which the pauses of consecutive sessions are spread over the reconnect window.
+/// The difference between the retry delays of consecutive sessions. A prime spreads them over the reconnect window.
 const RETRY_STRIDE: Millis = 7_919;
 
-/// The cause of a rejection from before a session, of which the gateway tells the version alone.
+/// The cause shown for a rejection before the session started, for which the gateway reports the version only.
 const REJECTED_BEFORE: &str = "before it came here";
 
-/// The last offer that a gateway has not answered yet.
+/// The latest offer, which the gateway has not answered yet.
 pub(super) struct Offered {
     pub(super) nonce: u64,
     pub(super) id: VersionId,
 }
 
-/// The version that a gateway has rejected last.
+/// The version that a gateway rejected last.
 pub(super) struct Rejected {
     pub(super) id: VersionId,
-    /// In the gateway's words.
+    /// The cause that the gateway reported.
     pub(super) cause: String,
 }
 
-/// The other end of a session.
+/// The state of a session's peer.
 pub(super) struct Peer {
     pub(super) role: Role,
     pub(super) last_received: Millis,
     pub(super) last_sent: Millis,
-    /// The process of the gateway: an upgrade has two at a time.
+    /// The id of the gateway process. Two processes run at once during an upgrade.
     pub(super) instance: u64,
-    /// Whether a gateway's first message has come: before it nothing is known of what the gateway has.
+    /// Whether a gateway's first message was received. Until then, its version in force is unknown.
     pub(super) hello_received: bool,
     pub(super) in_force: Option<VersionId>,
     pub(super) offered: Option<Offered>,
     pub(super) rejected: Option<Rejected>,
-    /// As last reported.
+    /// The last reported counters.
     pub(super) counts: RequestCounts,
-    /// As reported before its present version came into force.
+    /// The counters last reported before the current version came into force.
     pub(super) counts_at_update: RequestCounts,
     upload: Upload,
 }
 
-/// The documents that an operator is about to publish.
+/// The documents that an operator has uploaded and not published yet.
 #[derive(Default)]
 struct Upload {
     documents: Documents,
-    /// Of the document whose last chunk has not come.
+    /// The received text of the document whose last chunk is missing.
     partial: String,
     bytes: usize,
 }
 
 impl Upload {
-    /// Adds a chunk. Returns whether all of it is still within the limits of a version.
+    /// Adds a chunk. Returns whether the upload is still within the limits of a version.
     fn add(&mut self, name: String, text: &str, last: bool, max_bytes: usize) -> bool {
         self.bytes += text.len();
         if self.bytes > max_bytes || self.documents.len() >= MAX_DOCUMENTS {
@@ -93,8 +93,8 @@
         }
     }
 
-    /// A gateway's first message, with the version that it has.
-    fn hello(&mut self, instance: u64, in_force: Option<VersionId>, nacked: Option<VersionId>) {
+    /// Records the content of a gateway's first message.
+    fn record_hello(&mut self, instance: u64, in_force: Option<VersionId>, nacked: Option<VersionId>) {
         self.hello_received = true;
         self.instance = instance;
         self.in_force = in_force;
@@ -102,24 +102,24 @@
         self.counts_at_update = self.counts;
     }
 
-    /// A gateway has brought a version into force.
-    fn acknowledged(&mut self, id: VersionId) {
+    /// Records that a gateway has brought a version into force.
+    fn record_acknowledgement(&mut self, id: VersionId) {
         self.rejected = None;
         self.in_force = Some(id);
         self.offered = None;
         self.counts_at_update = self.counts;
     }
 
-    /// Whether the gateway has rejected this version last.
+    /// Whether this is the version that the gateway rejected last.
     pub(super) fn has_rejected(&self, id: &VersionId) -> bool {
         self.rejected.as_ref().is_some_and(|rejected| rejected.id == *id)
     }
 
-    /// A gateway has rejected a version.
+    /// Records that a gateway has rejected a version.
     fn record_rejection(&mut self, nonce: u64, id: VersionId, cause: String) {
         self.offered.take_if(|offered| offered.nonce == nonce);
         if cause == BASE_MISSING && self.in_force.is_some() {
-            // The next offer has no base: all documents are sent, once.
+            // Forgetting the gateway's version makes the next offer a full transfer without a base.
             self.in_force = None;
         } else {
             self.rejected = Some(Rejected { id, cause });
@@ -128,10 +128,10 @@
 }
 
 impl Service {
-    /// A connection is open, and its certificate has been checked.
+    /// Handles a new connection whose certificate has been verified.
     pub fn session_opened(&mut self, session: SessionId, role: Role, now: Millis) -> Vec<Output> {
         if self.peers.len() >= self.settings.max_sessions {
-            // Spread by the session's number: clients that are rejected together don't come back together.
+            // The delay depends on the session id, so that clients refused at once don't retry at once.
             let window = self.settings.reconnect_window.max(MIN_RETRY);
             let retry_ms = MIN_RETRY + session.wrapping_mul(RETRY_STRIDE) % window;
             return vec![
@@ -148,37 +148,37 @@
         vec![Output::Send(session, welcome)]
     }
 
-    /// A connection has ended, on either side.
+    /// Handles the end of a connection, whichever side closed it.
     pub fn session_closed(&mut self, session: SessionId) -> Vec<Output> {
-        let mut out = Vec::new();
+        let mut outputs = Vec::new();
         self.peers.remove(&session);
         self.transferring.remove(&session);
-        self.queue.retain(|waiting| *waiting != session);
-        self.start_transfers(&mut out);
-        out
+        self.queue.retain(|queued| *queued != session);
+        self.start_transfers(&mut outputs);
+        outputs
     }
 
-    /// All messages of a transfer are written.
+    /// Handles the completion of a transfer whose messages have all been written.
     pub fn transfer_written(&mut self, session: SessionId) -> Vec<Output> {
-        let mut out = Vec::new();
+        let mut outputs = Vec::new();
         self.transferring.remove(&session);
-        self.start_transfers(&mut out);
-        out
+        self.start_transfers(&mut outputs);
+        outputs
     }
 
-    /// A message has come. What its sender may not send closes the session.
+    /// Handles a received message. A message that its sender may not send closes the session.
     pub fn message_received(&mut self, session: SessionId, message: FromGateway, now: Millis) -> Vec<Output> {
-        let mut out = Vec::new();
-        let Some(peer) = self.peers.get_mut(&session) else { return out };
+        let mut outputs = Vec::new();
+        let Some(peer) = self.peers.get_mut(&session) else { return outputs };
         peer.last_received = now;
-        let handled = match peer.role.clone() {
-            Role::Gateway(name) => self.gateway_message(session, &name, message, &mut out),
+        let result = match peer.role.clone() {
+            Role::Gateway(name) => self.gateway_message(session, &name, message, &mut outputs),
             Role::Operator { name, may_change } => {
-                self.operator_message(session, &Operator { name, may_change }, message, now, &mut out)
+                self.operator_message(session, &Operator { name, may_change }, message, now, &mut outputs)
             }
         };
-        match handled {
-            Ok(()) => out,
+        match result {
+            Ok(()) => outputs,
             Err(reason) => vec![Output::Close(session, reason)],
         }
     }
@@ -188,20 +188,20 @@
         session: SessionId,
         name: &str,
         message: FromGateway,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) -> Result<(), CloseReason> {
         let Some(peer) = self.peers.get_mut(&session) else { return Ok(()) };
         match message {
             FromGateway::Hello { protocol, .. } if protocol != PROTOCOL => {
-                return Err(CloseReason::OtherProtocol);
+                return Err(CloseReason::UnsupportedProtocol);
             }
-            FromGateway::Hello { node, .. } if node != name => return Err(CloseReason::OtherGateway),
-            FromGateway::Hello { instance, have, nacked, .. } => peer.hello(instance, have, nacked),
-            FromGateway::Ack { id, .. } => peer.acknowledged(id),
+            FromGateway::Hello { node, .. } if node != name => return Err(CloseReason::NodeNameMismatch),
+            FromGateway::Hello { instance, have, nacked, .. } => peer.record_hello(instance, have, nacked),
+            FromGateway::Ack { id, .. } => peer.record_acknowledgement(id),
             FromGateway::Nack { nonce, id, cause } => {
                 let gateway = name.to_string();
                 let notice = Notice::Rejected { gateway, id: id.clone(), cause: cause.clone() };
-                out.push(Output::Notice(notice));
+                outputs.push(Output::Notice(notice));
                 peer.record_rejection(nonce, id, cause);
             }
             FromGateway::Skip { .. } => return Ok(()),
@@ -211,7 +211,7 @@
             }
             FromGateway::Chunk { .. } | FromGateway::Command { .. } => return Err(CloseReason::NotAllowed),
         }
-        self.start_transfers(out);
+        self.start_transfers(outputs);
         Ok(())
     }
 
@@ -221,7 +221,7 @@
         operator: &Operator,
         message: FromGateway,
         now: Millis,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) -> Result<(), CloseReason> {
         match message {
             FromGateway::Chunk { name, text, last } if operator.may_change => {
@@ -234,7 +234,7 @@
                 }
             }
             FromGateway::Command { command } => {
-                out.extend(self.command(session, command, operator, now));
+                outputs.extend(self.command(session, command, operator, now));
                 Ok(())
             }
             _ => Err(CloseReason::NotAllowed),
@@ -264,7 +264,7 @@
         }
     }
 
-    /// The documents of a version as a transfer, then its identifier.
+    /// Sends the documents of a version as a transfer, then replies with its id.
     fn show(&mut self, session: SessionId, number: Option<u64>) -> Vec<Output> {
         let version = match number {
             Some(number) => self.versions.get(&number),
@@ -281,7 +281,7 @@
     }
 }
 
-/// An operator, as the session's certificate says.
+/// The operator of a session, according to its certificate.
 struct Operator {
     name: String,
     may_change: bool,
--- a/crates/stream/src/service/status.rs
+++ b/crates/stream/src/service/status.rs
@@ -1,15 +1,15 @@
-//! What operators are shown of the service's state.
+//! The status report for operators.
 
 use super::session::Peer;
 use super::{Role, Service};
 use crate::Millis;
 use serde_json::{Value, json};
 
-/// Gateways that one answer to `status` names.
+/// The maximum number of gateways in a status report.
 const MAX_STATUS_GATEWAYS: usize = 1_500;
 
 impl Service {
-    /// Which gateway has which version, how the rollout goes, and which versions there are.
+    /// Reports the connected gateways, the state of the rollout and the retained versions.
     pub fn status(&self, now: Millis) -> Value {
         let connected = self.peers.values().filter(|peer| peer.hello_received);
         let gateways = connected.clone().filter_map(|peer| self.gateway_status(peer, now));
@@ -35,7 +35,9 @@
             "instance": peer.instance,
             "have": peer.in_force.as_ref().map(|id| id.number),
             "wanted": self.target_version(node).map(|version| version.id.number),
-            "turned_down": rejected.map(|it| json!({"version": it.id.to_string(), "cause": it.cause})),
+            "turned_down": rejected.map(|rejected| json!({
+                "version": rejected.id.to_string(), "cause": rejected.cause
+            })),
             "heard_ms_ago": now.saturating_sub(peer.last_received),
             "requests": peer.counts.requests,
             "failed": peer.counts.failed,
--- a/crates/stream/src/service/transfer.rs
+++ b/crates/stream/src/service/transfer.rs
@@ -1,24 +1,24 @@
-//! A version on its way to one gateway, as a sequence of messages.
+//! Transfers: the sequences of messages that carry versions to their receivers.
 
 use crate::message::{FromService, MAX_CHUNK_BYTES};
 use crate::version::Version;
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// A version on its way to one gateway. Its chunks are made as they are written, so that a thousand transfers of a version take
-/// no more memory than one.
+/// The transfer of a version to one receiver, as an iterator of messages. Chunks are created lazily, so that a thousand
+/// transfers of a version take no more memory than one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Transfer {
-    /// Tells the answers to this transfer's offer apart from others.
+    /// Identifies the transfer's offer in the answers of the receiver.
     pub nonce: u64,
     version: Arc<Version>,
-    /// What the gateway has: documents that are the same are not sent.
+    /// The version that the gateway has. Documents that are unchanged from it are not sent.
     base: Option<Arc<Version>>,
     started: bool,
-    /// Names of documents that are not sent yet.
+    /// The names of documents that are not sent completely yet.
     remaining: VecDeque<String>,
-    /// The bytes of the first of them that are sent.
-    position: usize,
+    /// The number of bytes sent of the first remaining document.
+    sent_bytes: usize,
     done: bool,
 }
 
@@ -28,7 +28,7 @@
             base.as_ref().is_none_or(|base| base.documents.get(*name) != version.documents.get(*name))
         };
         let remaining = version.documents.keys().filter(changed).cloned().collect();
-        Transfer { nonce, version, base, started: false, remaining, position: 0, done: false }
+        Transfer { nonce, version, base, started: false, remaining, sent_bytes: 0, done: false }
     }
 }
 
@@ -47,20 +47,20 @@
         }
     }
 
-    /// The next chunk of the first document that remains.
+    /// Returns the next chunk of the first remaining document.
     fn chunk(&mut self) -> Option<FromService> {
         let name = self.remaining.front()?.clone();
         let text = self.version.documents.get(&name).map_or("", String::as_str);
-        let mut end = (self.position + MAX_CHUNK_BYTES).min(text.len());
+        let mut end = (self.sent_bytes + MAX_CHUNK_BYTES).min(text.len());
         while !text.is_char_boundary(end) {
             end -= 1;
         }
-        let chunk = text[self.position..end].to_string();
+        let chunk = text[self.sent_bytes..end].to_string();
         let last = end == text.len();
-        self.position = end;
+        self.sent_bytes = end;
         if last {
             self.remaining.pop_front();
-            self.position = 0;
+            self.sent_bytes = 0;
         }
         Some(FromService::Chunk { nonce: self.nonce, name, text: chunk, last })
     }
