--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -1,4 +1,4 @@
-//! What the service stores in its folder: versions, and the state beside them.
+//! Storage of the service: the versions and the state file in its data folder.
 
 use sagearch_folder::{Folder, Loaded, StorageError};
 use sagearch_stream::Version;
@@ -9,76 +9,77 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// The name of the state's file.
-const STATE: &str = "state";
+/// Name of the state file.
+const STATE_FILE_NAME: &str = "state";
 
-/// The epoch of a service that has never lost its numbers.
+/// Epoch of a service whose version numbers were never lost.
 const FIRST_EPOCH: u64 = 1;
 
-/// Why a service can't start from its folder.
+/// Error of loading the stored state and versions.
 #[derive(Debug, Error)]
 pub enum LoadError {
-    /// The folder or the state's file can't be read.
+    /// The data folder or the state file can't be read.
     #[error(transparent)]
     Storage(#[from] StorageError),
-    /// The state can't be decoded, nor can the one before.
+    /// Neither the current nor the previous state can be decoded.
     #[error("{}: {cause}; with a greater epoch it begins anew", .file.display())]
     BrokenState {
-        /// The state's file.
+        /// Path of the state file.
         file: PathBuf,
-        /// Why it can't be decoded.
+        /// Decoding error of the current state.
         cause: String,
     },
 }
 
-/// The service's folder.
+/// Store of the service's state and versions in a folder.
 pub struct ServiceStore {
     folder: Folder,
-    /// Whether the state's file is known to be good.
+    /// Whether the state file is known to be decodable, so that it may be kept as the previous one.
     state_intact: Cell<bool>,
 }
 
 impl ServiceStore {
-    /// A store in a folder of this machine.
+    /// Creates a store in a folder of the local file system.
     pub fn new(data: impl Into<PathBuf>) -> ServiceStore {
-        ServiceStore::on(Folder::new(data))
+        ServiceStore::with_folder(Folder::new(data))
     }
 
-    /// A store in a folder of any file system.
-    pub fn on(folder: Folder) -> ServiceStore {
+    /// Creates a store in a folder of any file system.
+    pub fn with_folder(folder: Folder) -> ServiceStore {
         ServiceStore { folder, state_intact: Cell::new(false) }
     }
 
-    /// The state and the versions that were stored, or those of a service that begins in this epoch.
+    /// Loads the stored state and versions. Returns an initial state in `epoch` if no state is stored, or if the stored
+    /// one belongs to an earlier epoch.
     ///
     /// # Errors
-    /// [`LoadError`] without a state that can be read: versions alone don't say which one is in use, and numbers that were
-    /// given must not be given again, so that is no beginning. A greater epoch makes it one.
+    /// [`LoadError`] if the state is stored but can't be read. Versions alone don't tell which one is in force, and
+    /// version numbers must not be reused, so the service doesn't start over unless it is given a greater epoch.
     pub fn load(&self, epoch: u64) -> Result<(State, Vec<Version>), LoadError> {
         self.folder.create()?;
         let stored = load_versions(&self.folder);
         for file in &stored.unusable {
-            tracing::warn!(file = file.name, cause = %file.error, "a kept version is passed over");
+            tracing::warn!(file = file.name, cause = %file.error, "skipping a stored version that can't be used");
         }
-        let beginning = State { epoch, ..State::default() };
+        let initial = State { epoch, ..State::default() };
         match self.load_state() {
             Ok(Some(state)) if state.epoch >= epoch => Ok((state, stored.versions)),
-            // What was given in an earlier epoch is not used any more.
-            Ok(Some(_)) => Ok((beginning, Vec::new())),
-            Ok(None) => Ok((beginning, stored.versions)),
+            // Versions and numbers of an earlier epoch are no longer valid.
+            Ok(Some(_)) => Ok((initial, Vec::new())),
+            Ok(None) => Ok((initial, stored.versions)),
             Err(_)
                 if epoch > FIRST_EPOCH && stored.versions.iter().all(|version| version.id.epoch < epoch) =>
             {
-                Ok((beginning, Vec::new()))
+                Ok((initial, Vec::new()))
             }
             Err(error) => Err(error),
         }
     }
 
-    /// The stored state, or the one before if that is broken; `None` if there is none.
+    /// Loads the stored state, or the previous one if the current one can't be decoded; `None` if none is stored.
     fn load_state(&self) -> Result<Option<State>, LoadError> {
-        let file = self.folder.path().join(STATE);
-        match self.folder.load_decoded(STATE, store::decode::<State>)? {
+        let file = self.folder.path().join(STATE_FILE_NAME);
+        match self.folder.load_decoded(STATE_FILE_NAME, store::decode::<State>)? {
             Loaded::Current(state) => {
                 self.state_intact.set(true);
                 Ok(Some(state))
@@ -92,25 +93,25 @@
         }
     }
 
-    /// Replaces the state. The one before stays as the previous version, unless it was broken.
+    /// Replaces the state file. The replaced state is kept as the previous one, unless it could not be decoded.
     ///
     /// # Errors
-    /// Those of [`Folder::replace`].
+    /// The errors of [`Folder::replace`].
     pub fn store_state(&self, state: &State) -> io::Result<()> {
         let (bytes, writer) = (store::encode(state)?, std::process::id());
         if self.state_intact.get() {
-            self.folder.replace_keeping_previous(STATE, &bytes, writer)?;
+            self.folder.replace_keeping_previous(STATE_FILE_NAME, &bytes, writer)?;
         } else {
-            self.folder.replace(STATE, &bytes, writer)?;
+            self.folder.replace(STATE_FILE_NAME, &bytes, writer)?;
         }
         self.state_intact.set(true);
         Ok(())
     }
 
-    /// Stores a version, and then removes the oldest beyond `max_versions`.
+    /// Stores a version, then removes the oldest ones beyond `max_versions`.
     ///
     /// # Errors
-    /// Those of [`Folder::replace`].
+    /// The errors of [`Folder::replace`].
     pub fn store_version(&self, version: &Version, max_versions: usize) -> io::Result<()> {
         store::store_version(&self.folder, version, max_versions, std::process::id())
     }
--- a/crates/control/src/persistence.rs
+++ b/crates/control/src/persistence.rs
@@ -1,4 +1,4 @@
-//! What the service has stored, in its order, and the retries of what could not be written.
+//! Ordered writes of versions and states to the store, with retries of failed writes.
 
 use crate::disk::ServiceStore;
 use sagearch_folder::Backoff;
@@ -8,66 +8,75 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The first pause between two attempts to write.
+/// Delay before the first retry of a failed write.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
-/// The longest pause between two attempts to write.
+/// Longest delay between two attempts to write.
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
-/// Versions and states on their way to the disk.
+/// Writer of versions and states.
 ///
-/// A state is written after the versions that it names: one that named a version that is not there would lose it.
+/// A state is written after the versions that it refers to: a state that refers to a version that is not stored would
+/// lose that version at a restart.
 pub struct Persistence {
     store: ServiceStore,
-    /// How many versions stay on the disk.
+    /// Number of versions that are kept on disk.
     max_versions: usize,
-    /// What could not be written yet: few, as nothing is published meanwhile.
-    versions: Vec<Arc<Version>>,
-    state: Option<State>,
+    /// Versions that could not be written yet. They stay few, because nothing is published while a write is pending.
+    pending_versions: Vec<Arc<Version>>,
+    /// State that could not be written yet.
+    pending_state: Option<State>,
     backoff: Backoff,
-    /// When the next attempt is due.
+    /// Time of the next attempt, if a write is pending.
     retry_at: Option<Instant>,
 }
 
 impl Persistence {
-    /// Writes to a store, in which `max_versions` versions stay.
+    /// Creates a writer to a store that keeps `max_versions` versions.
     pub fn new(store: ServiceStore, max_versions: usize) -> Persistence {
         let backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
-        Persistence { store, max_versions, versions: Vec::new(), state: None, backoff, retry_at: None }
+        Persistence {
+            store,
+            max_versions,
+            pending_versions: Vec::new(),
+            pending_state: None,
+            backoff,
+            retry_at: None,
+        }
     }
 
-    /// Stores a version that is in use already, now or as soon as it can be.
+    /// Stores a version that is already in force, and retries later if the write fails.
     pub fn add_version(&mut self, now: Instant, version: Arc<Version>) {
-        self.versions.push(version);
-        // An error is logged, and tried again.
-        let _ = self.try_flush(now);
+        self.pending_versions.push(version);
+        // An error is logged and the write is retried.
+        let _ = self.flush_or_schedule_retry(now);
     }
 
-    /// Stores a state that is in force already, now or as soon as it can be.
+    /// Stores a state that is already in force, and retries later if the write fails.
     pub fn set_state(&mut self, now: Instant, state: State) {
-        self.state = Some(state);
-        let _ = self.try_flush(now);
+        self.pending_state = Some(state);
+        let _ = self.flush_or_schedule_retry(now);
     }
 
-    /// Tries again, when that is due.
+    /// Retries pending writes if the next attempt is due.
     pub fn retry(&mut self, now: Instant) {
-        if self.retry_at.is_some_and(|at| now >= at) {
-            let _ = self.try_flush(now);
+        if self.retry_at.is_some_and(|retry_at| now >= retry_at) {
+            let _ = self.flush_or_schedule_retry(now);
         }
     }
 
-    /// Stores a version that is not in force yet, and the state in which it is.
+    /// Stores a version that is not in force yet, and the state that puts it in force.
     ///
     /// # Errors
-    /// Those of the file system. Nothing of the version may come into force then, although its file may be there.
+    /// The errors of the file system. The version must not be put in force then, although its file may exist.
     pub fn publish(&mut self, now: Instant, version: &Version, state: &State) -> io::Result<()> {
-        self.try_flush(now)?;
+        self.flush_or_schedule_retry(now)?;
         self.store.store_version(version, self.max_versions)?;
         self.store.store_state(state)
     }
 
-    fn try_flush(&mut self, now: Instant) -> io::Result<()> {
-        let flushed = self.flush();
-        match &flushed {
+    fn flush_or_schedule_retry(&mut self, now: Instant) -> io::Result<()> {
+        let result = self.flush();
+        match &result {
             Ok(()) => {
                 self.retry_at = None;
                 self.backoff.reset();
@@ -78,17 +87,17 @@
                 self.retry_at = Some(now + pause);
             }
         }
-        flushed
+        result
     }
 
     fn flush(&mut self) -> io::Result<()> {
-        while let Some(version) = self.versions.first() {
+        while let Some(version) = self.pending_versions.first() {
             self.store.store_version(version, self.max_versions)?;
-            self.versions.remove(0);
+            self.pending_versions.remove(0);
         }
-        if let Some(state) = &self.state {
+        if let Some(state) = &self.pending_state {
             self.store.store_state(state)?;
-            self.state = None;
+            self.pending_state = None;
         }
         Ok(())
     }
