--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,8 +1,8 @@
-//! The control service: keeps versions of the operators' configuration, checks them before they go out, and streams
-//! them to gateways in stages.
+//! The control service: stores versions of the operators' configuration, validates them before publication, and
+//! streams them to gateways in stages.
 //!
-//! What it decides is [`sagearch_stream::service`]'s; here are its sockets ([`server`]), its disk ([`disk`], [`persistence`]) and the
-//! operators' side of the stream ([`client`]).
+//! The protocol and rollout decisions are made in [`sagearch_stream::service`]. This crate provides the sockets
+//! ([`server`]), the storage ([`disk`], [`persistence`]) and the operators' client ([`client`]).
 
 #![warn(missing_docs)]
 
@@ -12,7 +12,7 @@
 pub mod server;
 pub mod tls;
 
-/// The document that holds a version's part of the operators' language.
+/// Name of the document that holds a version's configuration in the operators' language.
 pub const DOCUMENT: &str = "operators.kdl";
-/// The same, read and checked once for all gateways.
-pub const COMPILED: &str = "operators.json";
+/// Name of the compiled form of [`DOCUMENT`], which the service parses and validates once for all gateways.
+pub const COMPILED_DOCUMENT: &str = "operators.json";
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -1,7 +1,7 @@
-//! The service's sockets: one thread, non-blocking, TLS by rustls over mio.
+//! The service's event loop: one thread with non-blocking mio sockets and TLS by rustls.
 //!
-//! What goes out to a connection waits in its queue as messages and as transfers, whose pieces are made when there is
-//! room for them: a connection holds no more than some 256 KB, whatever the version's size.
+//! Each connection has a queue of outgoing messages and transfers. The chunks of a transfer are encoded only when the
+//! write buffer has room, so a connection buffers no more than some 256 KB whatever the size of the version.
 
 mod accept;
 mod connection;
@@ -27,12 +27,12 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// The listener's; connections have the numbers of their sessions.
-const LISTENER: Token = Token(0);
-/// How often the service is ticked.
-const TICK: Duration = Duration::from_millis(20);
+/// Token of the listener; the token of a connection is its session identifier.
+const LISTENER_TOKEN: Token = Token(0);
+/// Interval between ticks of the service.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The service and its sockets.
+/// The control service with its listener and connections.
 pub struct Server {
     file: ServiceFile,
     persistence: Persistence,
@@ -43,17 +43,17 @@
     connections: BTreeMap<SessionId, Connection>,
     next_session: SessionId,
     started_at: Instant,
-    /// The address at which it listens.
+    /// Address on which the service listens.
     pub at: SocketAddr,
 }
 
 impl Server {
-    /// Reads what was stored, and listens.
+    /// Loads the stored state and versions, and starts to listen.
     ///
     /// # Errors
-    /// [`ServerError`] for a folder, certificates or an address that can't be used.
+    /// [`ServerError`] if the data folder, the TLS files or the listen address can't be used.
     pub fn start(file: ServiceFile) -> Result<Server, ServerError> {
-        let listen_error = |source| ServerError::Listen { at: file.listen, source };
+        let listen_error = |source| ServerError::Listen { address: file.listen, source };
         let store = ServiceStore::new(&file.data);
         let (state, versions) = store.load(file.epoch)?;
         let tls_config = tls_files::server(&file.certificate, &file.key, &file.roots)?;
@@ -68,7 +68,7 @@
         let mut listener = TcpListener::bind(file.listen).map_err(listen_error)?;
         let at = listener.local_addr().map_err(listen_error)?;
         let poll = Poll::new().map_err(listen_error)?;
-        poll.registry().register(&mut listener, LISTENER, Interest::READABLE).map_err(listen_error)?;
+        poll.registry().register(&mut listener, LISTENER_TOKEN, Interest::READABLE).map_err(listen_error)?;
         let service = Service::new(settings, state, versions, 0);
         tracing::info!(%at, stable = ?service.state().stable, "the control service listens");
         let (connections, started_at) = (BTreeMap::new(), Instant::now());
@@ -87,19 +87,19 @@
         })
     }
 
-    fn now(&self) -> u64 {
+    fn now_ms(&self) -> u64 {
         self.started_at.elapsed().as_millis() as u64
     }
 
-    /// Serves until the flag is set.
+    /// Runs the event loop until `stop` is set.
     ///
     /// # Errors
-    /// That of polling the sockets.
+    /// The error of polling the sockets.
     pub fn run(&mut self, stop: &AtomicBool) -> io::Result<()> {
         let mut events = Events::with_capacity(1_024);
-        let mut ticked = Instant::now();
+        let mut last_tick = Instant::now();
         while !stop.load(Ordering::SeqCst) {
-            if let Err(e) = self.poll.poll(&mut events, Some(TICK)) {
+            if let Err(e) = self.poll.poll(&mut events, Some(TICK_INTERVAL)) {
                 if e.kind() == io::ErrorKind::Interrupted {
                     continue;
                 }
@@ -107,17 +107,17 @@
             }
             for event in &events {
                 match event.token() {
-                    LISTENER => self.accept(),
-                    Token(session) => self.ready(session as SessionId),
+                    LISTENER_TOKEN => self.accept(),
+                    Token(session) => self.handle_readiness(session as SessionId),
                 }
             }
-            if ticked.elapsed() >= TICK {
-                ticked = Instant::now();
-                // Whoever could not be taken in one go is taken now.
+            if last_tick.elapsed() >= TICK_INTERVAL {
+                last_tick = Instant::now();
+                // Accepts the connections that exceeded the limit of the previous call.
                 self.accept();
-                self.drop_slow_connections();
-                let outputs = self.service.tick(self.now());
-                self.carry_out(outputs);
+                self.drop_timed_out_connections();
+                let outputs = self.service.tick(self.now_ms());
+                self.apply_outputs(outputs);
                 self.persistence.retry(Instant::now());
             }
         }
--- a/crates/control/src/server/accept.rs
+++ b/crates/control/src/server/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts connections, tells by its certificate who is at the other end, and ends connections.
+//! Accepts connections, derives the role of a peer from its certificate, and drops connections.
 
 use super::Server;
 use super::connection::Connection;
@@ -10,21 +10,21 @@
 use sagearch_stream::service::{Role, SessionId};
 use std::io;
 
-/// Connections beyond those that are served: they are answered with when to come back.
-const MAX_REJECTED_CONNECTIONS: usize = 100;
-/// Connections that are accepted in one go.
-const MAX_ACCEPTS_PER_TICK: usize = 64;
+/// Connections accepted beyond the limit of served ones, so that they can be answered with a retry delay.
+const MAX_BUSY_CONNECTIONS: usize = 100;
+/// Connections accepted by one call of [`Server::accept`].
+const MAX_ACCEPTS_PER_CALL: usize = 64;
 
 impl Server {
-    /// Accepts the connections that wait.
+    /// Accepts pending connections, up to [`MAX_ACCEPTS_PER_CALL`].
     pub(super) fn accept(&mut self) {
-        for _ in 0..MAX_ACCEPTS_PER_TICK {
+        for _ in 0..MAX_ACCEPTS_PER_CALL {
             let mut stream = match self.listener.accept() {
                 Ok((stream, _)) => stream,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                Err(e) => return tracing::warn!(cause = %e, "accept"),
+                Err(e) => return tracing::warn!(cause = %e, "accepting a connection failed"),
             };
-            if self.connections.len() >= self.file.connections + MAX_REJECTED_CONNECTIONS {
+            if self.connections.len() >= self.file.connections + MAX_BUSY_CONNECTIONS {
                 continue;
             }
             let Ok(tls) = ServerConnection::new(self.tls_config.clone()) else { continue };
@@ -36,38 +36,38 @@
                 continue;
             }
             self.connections.insert(session, Connection::new(stream, tls));
-            self.ready(session);
+            self.handle_readiness(session);
         }
     }
 
-    /// Drops connections whose handshake or whose peer is too slow.
-    pub(super) fn drop_slow_connections(&mut self) {
-        let slow = self.connections.iter().filter(|(_, connection)| connection.is_too_slow());
-        let slow: Vec<SessionId> = slow.map(|(session, _)| *session).collect();
-        for session in slow {
-            self.drop_connection(session, &ConnectionEnd::TooSlow);
+    /// Drops connections whose handshake or writes have timed out.
+    pub(super) fn drop_timed_out_connections(&mut self) {
+        let timed_out = self.connections.iter().filter(|(_, connection)| connection.has_timed_out());
+        let timed_out: Vec<SessionId> = timed_out.map(|(session, _)| *session).collect();
+        for session in timed_out {
+            self.drop_connection(session, &ConnectionEnd::TimedOut);
         }
     }
 
-    /// Ends a connection at once.
+    /// Drops a connection immediately, without writing its queue.
     pub(super) fn drop_connection(&mut self, session: SessionId, end: &ConnectionEnd) {
         let Some(mut connection) = self.connections.remove(&session) else { return };
-        tracing::debug!(session, cause = end.to_string(), "a connection ends");
+        tracing::debug!(session, cause = end.to_string(), "connection ended");
         let _ = self.poll.registry().deregister(&mut connection.stream);
         if connection.opened {
             let outputs = self.service.session_closed(session);
-            self.carry_out(outputs);
+            self.apply_outputs(outputs);
         }
     }
 }
 
-/// The role of a certificate: a gateway by the URI that ends in its name, or an operator.
-pub(super) fn role_of(file: &ServiceFile, tls: &ServerConnection) -> Option<Role> {
-    let shown = Presented::read(tls.peer_certificates()?).ok()?;
-    let operator = |uri: &String| file.operators.iter().find(|operator| uri.starts_with(&operator.uri));
-    if let Some(operator) = shown.uris.iter().find_map(operator) {
+/// Returns the role that the peer's certificate grants. A gateway's URI is the configured prefix followed by its name.
+pub(super) fn role_from_certificate(file: &ServiceFile, tls: &ServerConnection) -> Option<Role> {
+    let identity = Presented::read(tls.peer_certificates()?).ok()?;
+    let find_operator = |uri: &String| file.operators.iter().find(|operator| uri.starts_with(&operator.uri));
+    if let Some(operator) = identity.uris.iter().find_map(find_operator) {
         return Some(Role::Operator { name: operator.name.clone(), may_change: operator.may_change });
     }
-    let name = shown.uris.iter().find_map(|uri| uri.strip_prefix(&file.gateways))?;
+    let name = identity.uris.iter().find_map(|uri| uri.strip_prefix(&file.gateways))?;
     (!name.is_empty()).then(|| Role::Gateway(name.to_string()))
 }
--- a/crates/control/src/server/connection.rs
+++ b/crates/control/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a gateway or an operator: its TLS session, and what waits to be written to it.
+//! A connection of a gateway or an operator: its TLS session and its queue of outgoing messages.
 
 use super::error::ConnectionEnd;
 use mio::net::TcpStream;
@@ -9,71 +9,71 @@
 use std::io::{self, Read, Write};
 use std::time::{Duration, Instant};
 
-/// A handshake that lasts longer ends its connection.
+/// Time within which the TLS handshake must complete.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
-/// A connection that takes nothing of what waits for it is closed after this.
+/// Time after which a connection with unwritten data and no write progress is dropped.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(20);
-/// How many bytes are read at a time.
+/// Size of the read buffer in bytes.
 const READ_BYTES: usize = 16 * 1024;
-/// Bytes that wait in a connection before more of a transfer is made.
-const MAX_PENDING_BYTES: usize = 256 * 1024;
-/// Messages that may wait for one connection.
-const MAX_QUEUED_MESSAGES: usize = 1_000;
+/// Encoded bytes in the write buffer above which no further message is encoded.
+const MAX_WRITE_BUFFER_BYTES: usize = 256 * 1024;
+/// Entries that the queue of one connection may hold.
+const MAX_QUEUED_ENTRIES: usize = 1_000;
 
-/// What waits to be written.
+/// Entry of the queue of outgoing messages.
 pub(super) enum Outgoing {
     Message(FromService),
     Transfer(Box<Transfer>),
 }
 
-/// What a read of the socket has brought.
+/// Result of reading from the socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Received {
-    /// Some bytes, and there may be more.
+pub(super) enum ReadOutcome {
+    /// Bytes were read, and more may be available.
     Bytes,
-    /// Nothing: more comes later.
-    Nothing,
+    /// No bytes are available now.
+    WouldBlock,
 }
 
-/// How far the encoded messages are written.
+/// Result of writing the encoded messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Flushed {
-    /// All are: the next ones can be encoded.
+pub(super) enum FlushOutcome {
+    /// All bytes are written, and the next messages can be encoded.
     All,
-    /// The socket takes no more now, or the handshake waits for the peer.
+    /// The socket would block, or the handshake waits for the peer.
     Blocked,
 }
 
-/// What [`Connection::fill`] has encoded.
+/// Result of [`Connection::encode_queued`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Filled {
-    /// Whether there were messages.
-    pub(super) messages: bool,
-    /// Whether a transfer has come to its end.
+pub(super) struct EncodeOutcome {
+    /// Whether any message was encoded.
+    pub(super) has_messages: bool,
+    /// Whether a transfer ended, with all its messages encoded.
     pub(super) transfer_written: bool,
 }
 
-/// A connection of a gateway or an operator.
+/// Connection of a gateway or an operator.
 pub(super) struct Connection {
     pub(super) stream: TcpStream,
     pub(super) tls: ServerConnection,
-    /// The handshake is over, and the service knows the session.
+    /// Whether the handshake is complete and the session was opened.
     pub(super) opened: bool,
-    /// It ends once all that waits is written.
+    /// Whether the connection is to be closed once its queue is written.
     pub(super) closing: bool,
     decoder: Decoder,
     queue: VecDeque<Outgoing>,
-    /// Encoded messages that are being written.
-    pending: Vec<u8>,
-    /// How many bytes of them TLS has taken.
-    written: usize,
+    /// Write buffer of encoded messages.
+    write_buffer: Vec<u8>,
+    /// Bytes of `write_buffer` that were passed to TLS.
+    encrypted_bytes: usize,
     accepted_at: Instant,
-    /// When the peer last took bytes, or nothing waited for it.
+    /// Time of the last successful write, or at which the write buffer was last empty.
     last_progress: Instant,
 }
 
 impl Connection {
-    /// One that has just been accepted.
+    /// Creates the connection for a socket that was just accepted.
     pub(super) fn new(stream: TcpStream, tls: ServerConnection) -> Connection {
         let now = Instant::now();
         Connection {
@@ -83,49 +83,49 @@
             closing: false,
             decoder: Decoder::default(),
             queue: VecDeque::new(),
-            pending: Vec::new(),
-            written: 0,
+            write_buffer: Vec::new(),
+            encrypted_bytes: 0,
             accepted_at: now,
             last_progress: now,
         }
     }
 
-    /// Whether its handshake or its peer takes too long.
-    pub(super) fn is_too_slow(&self) -> bool {
-        let waits = !self.queue.is_empty() || !self.all_encrypted() || self.tls.wants_write();
+    /// Whether the handshake or the writes have timed out.
+    pub(super) fn has_timed_out(&self) -> bool {
+        let has_unwritten_data = !self.queue.is_empty() || !self.all_encrypted() || self.tls.wants_write();
         (!self.opened && self.accepted_at.elapsed() > HANDSHAKE_TIMEOUT)
-            || (waits && self.last_progress.elapsed() > WRITE_TIMEOUT)
+            || (has_unwritten_data && self.last_progress.elapsed() > WRITE_TIMEOUT)
     }
 
-    /// Adds what is to be written after all that waits.
-    pub(super) fn enqueue(&mut self, item: Outgoing) -> Result<(), ConnectionEnd> {
-        if self.queue.len() >= MAX_QUEUED_MESSAGES {
+    /// Appends an entry to the queue.
+    pub(super) fn enqueue(&mut self, outgoing: Outgoing) -> Result<(), ConnectionEnd> {
+        if self.queue.len() >= MAX_QUEUED_ENTRIES {
             return Err(ConnectionEnd::QueueFull);
         }
-        self.queue.push_back(item);
+        self.queue.push_back(outgoing);
         Ok(())
     }
 
-    /// Reads from the socket into TLS.
-    pub(super) fn receive(&mut self) -> Result<Received, ConnectionEnd> {
+    /// Reads from the socket and processes the TLS records.
+    pub(super) fn receive(&mut self) -> Result<ReadOutcome, ConnectionEnd> {
         loop {
             match self.tls.read_tls(&mut self.stream) {
                 Ok(0) => return Err(ConnectionEnd::ClosedByPeer),
                 Ok(_) => break,
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(Received::Nothing),
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(ReadOutcome::WouldBlock),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Err(e.into()),
             }
         }
         if let Err(e) = self.tls.process_new_packets() {
-            // The alert that tells the peer why.
+            // Sends the TLS alert that reports the error to the peer.
             let _ = self.tls.write_tls(&mut self.stream);
             return Err(e.into());
         }
-        Ok(Received::Bytes)
+        Ok(ReadOutcome::Bytes)
     }
 
-    /// Hands what TLS has decrypted to the decoder.
+    /// Passes the decrypted bytes to the decoder.
     pub(super) fn decrypt(&mut self) -> Result<(), ConnectionEnd> {
         let mut bytes = [0; READ_BYTES];
         loop {
@@ -138,65 +138,65 @@
         }
     }
 
-    /// The next message of the peer. `None`: it is not complete yet.
+    /// Returns the next message of the peer, or `None` if no complete one was received yet.
     pub(super) fn next_received(&mut self) -> Result<Option<FromGateway>, ConnectionEnd> {
         Ok(self.decoder.next_message()?)
     }
 
-    /// Writes the encoded messages, as far as the socket takes them.
-    pub(super) fn flush(&mut self) -> Result<Flushed, ConnectionEnd> {
+    /// Writes the encoded messages until the socket would block.
+    pub(super) fn flush(&mut self) -> Result<FlushOutcome, ConnectionEnd> {
         loop {
             self.encrypt()?;
             if self.opened && self.all_encrypted() && !self.tls.wants_write() {
-                self.pending.clear();
-                self.written = 0;
-                return Ok(Flushed::All);
+                self.write_buffer.clear();
+                self.encrypted_bytes = 0;
+                return Ok(FlushOutcome::All);
             }
             match self.tls.write_tls(&mut self.stream) {
                 Ok(_) if !self.opened && self.all_encrypted() && !self.tls.wants_write() => {
-                    return Ok(Flushed::Blocked);
+                    return Ok(FlushOutcome::Blocked);
                 }
                 Ok(_) => self.last_progress = Instant::now(),
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(Flushed::Blocked),
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(FlushOutcome::Blocked),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Err(e.into()),
             }
         }
     }
 
-    /// Encodes the next messages that wait.
-    pub(super) fn fill(&mut self) -> Result<Filled, ConnectionEnd> {
-        let mut filled = Filled::default();
+    /// Encodes queued messages until the write buffer is full.
+    pub(super) fn encode_queued(&mut self) -> Result<EncodeOutcome, ConnectionEnd> {
+        let mut outcome = EncodeOutcome::default();
         self.last_progress = Instant::now();
-        while self.pending.len() < MAX_PENDING_BYTES {
-            let Some(message) = self.next_to_send(&mut filled.transfer_written) else { break };
-            self.pending.extend_from_slice(&encode(&message)?);
-            filled.messages = true;
+        while self.write_buffer.len() < MAX_WRITE_BUFFER_BYTES {
+            let Some(message) = self.next_outgoing_message(&mut outcome.transfer_written) else { break };
+            self.write_buffer.extend_from_slice(&encode(&message)?);
+            outcome.has_messages = true;
         }
-        if self.closing && !filled.messages {
+        if self.closing && !outcome.has_messages {
             return Err(ConnectionEnd::ClosedByService);
         }
-        Ok(filled)
+        Ok(outcome)
     }
 
-    /// Hands encoded messages to TLS, as far as its buffer takes them.
+    /// Passes encoded messages to TLS until its buffer is full.
     fn encrypt(&mut self) -> io::Result<()> {
         while self.opened && !self.all_encrypted() {
-            let written = self.tls.writer().write(&self.pending[self.written..])?;
-            if written == 0 {
+            let encrypted = self.tls.writer().write(&self.write_buffer[self.encrypted_bytes..])?;
+            if encrypted == 0 {
                 break;
             }
-            self.written += written;
+            self.encrypted_bytes += encrypted;
         }
         Ok(())
     }
 
     fn all_encrypted(&self) -> bool {
-        self.written == self.pending.len()
+        self.encrypted_bytes == self.write_buffer.len()
     }
 
-    /// The next message that waits. The end of a transfer sets `transfer_written`.
-    fn next_to_send(&mut self, transfer_written: &mut bool) -> Option<FromService> {
+    /// Returns the next queued message. Sets `transfer_written` when a transfer is complete.
+    fn next_outgoing_message(&mut self, transfer_written: &mut bool) -> Option<FromService> {
         loop {
             match self.queue.pop_front()? {
                 Outgoing::Message(message) => return Some(message),
--- a/crates/control/src/server/error.rs
+++ b/crates/control/src/server/error.rs
@@ -1,4 +1,4 @@
-//! Why the service does not start, why it ends a connection, and why it publishes nothing.
+//! Errors of starting the service, of a connection and of a publication.
 
 use crate::DOCUMENT;
 use crate::disk::LoadError;
@@ -10,37 +10,37 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why the service does not start.
+/// Error that prevents the service from starting.
 #[derive(Debug, Error)]
 pub enum ServerError {
-    /// Its folder can't be used.
+    /// The data folder can't be used.
     #[error(transparent)]
     Load(#[from] LoadError),
-    /// Its certificate, key or roots can't be used.
+    /// The certificate, key or roots can't be used.
     #[error(transparent)]
     Tls(#[from] TlsError),
-    /// It can't listen.
-    #[error("{at}: {source}")]
+    /// The listener can't be opened.
+    #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address from its file.
-        at: SocketAddr,
-        /// The operating system's error.
+        /// Listen address from the service's file.
+        address: SocketAddr,
+        /// Error of the operating system.
         source: io::Error,
     },
 }
 
-/// Why a connection ends.
+/// Reason for which a connection ended.
 #[derive(Debug, Error)]
 pub(super) enum ConnectionEnd {
-    #[error("it has closed")]
+    #[error("the peer closed the connection")]
     ClosedByPeer,
-    #[error("it was closed from here")]
+    #[error("the service closed the connection")]
     ClosedByService,
-    #[error("its certificate is nobody's")]
+    #[error("the certificate identifies neither a gateway nor an operator")]
     UnknownCertificate,
-    #[error("too slow")]
-    TooSlow,
-    #[error("too much waits for it")]
+    #[error("the handshake or a write timed out")]
+    TimedOut,
+    #[error("the queue of outgoing messages is full")]
     QueueFull,
     #[error(transparent)]
     Io(#[from] io::Error),
@@ -50,12 +50,12 @@
     Frame(#[from] FrameError),
 }
 
-/// Why no version is published. Operators read it as the answer to their command.
+/// Error of a publication or rollback, sent to the operator as the answer to the command.
 #[derive(Debug, Error)]
 pub(super) enum PublicationError {
     #[error("there is no {DOCUMENT}")]
     MissingDocument,
-    /// The faults in the document, with line and column.
+    /// The document has errors, reported with line and column.
     #[error(transparent)]
     Document(#[from] Diagnostics),
     #[error(transparent)]
--- a/crates/control/src/server/publication.rs
+++ b/crates/control/src/server/publication.rs
@@ -1,8 +1,8 @@
-//! The operators' calls that make a version: publish and roll back.
+//! The operators' commands that create a version: publish and rollback.
 
 use super::Server;
 use super::error::PublicationError;
-use crate::{COMPILED, DOCUMENT};
+use crate::{COMPILED_DOCUMENT, DOCUMENT};
 use sagearch_operators::compile;
 use sagearch_stream::rollout::Plan;
 use sagearch_stream::service::Prepared;
@@ -11,37 +11,38 @@
 use std::time::Instant;
 
 impl Server {
-    /// Checks documents before anything of them goes out, and makes a version of them.
+    /// Validates documents and publishes them as a new version. Nothing is sent to gateways if they are invalid.
     pub(super) fn publish(
         &mut self,
         mut documents: Documents,
         plan: Plan,
     ) -> Result<Value, PublicationError> {
         let text = documents.get(DOCUMENT).ok_or(PublicationError::MissingDocument)?;
-        let form = compile(DOCUMENT, text)?;
-        documents.insert(COMPILED.into(), form);
-        let prepared = self.service.prepare(documents, plan, self.now())?;
+        let compiled = compile(DOCUMENT, text)?;
+        documents.insert(COMPILED_DOCUMENT.into(), compiled);
+        let prepared = self.service.prepare(documents, plan, self.now_ms())?;
         self.store_and_commit(prepared)
     }
 
-    /// Makes a version with the content of an earlier one.
+    /// Publishes a new version with the content of an earlier one.
     pub(super) fn rollback(&mut self, number: u64) -> Result<Value, PublicationError> {
         let prepared = self.service.prepare_rollback(number)?;
         self.store_and_commit(prepared)
     }
 
-    /// Stores a version, and only then brings it into use.
+    /// Stores a version, and commits it only once it is stored.
     fn store_and_commit(&mut self, prepared: Prepared) -> Result<Value, PublicationError> {
         let id = prepared.version.id.clone();
         if let Err(e) = self.persistence.publish(Instant::now(), &prepared.version, &prepared.state) {
-            // Its file may be there, and the state may name it: the number must not be given to another content.
+            // The version's file may exist and the stored state may refer to it, so the number must not be reused for
+            // other content.
             self.service.abandon(&prepared);
             self.persistence.set_state(Instant::now(), self.service.state().clone());
             return Err(PublicationError::NotStored(e));
         }
         tracing::info!(version = %id, "published");
         let outputs = self.service.commit(prepared);
-        self.carry_out(outputs);
+        self.apply_outputs(outputs);
         Ok(json!({"epoch": id.epoch, "number": id.number, "digest": id.digest}))
     }
 }
