--- a/crates/control/src/client.rs
+++ b/crates/control/src/client.rs
@@ -1,4 +1,4 @@
-//! The operators' side: publish, status, rollback and the documents of a version.
+//! Client of the control service: publish, status, rollback and the documents of a version.
 
 use crate::tls::{self, TlsError};
 use rustls::pki_types::{InvalidDnsNameError, ServerName};
@@ -15,77 +15,77 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The longest that an answer may take.
+/// Timeout of a read or write on the connection.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
-/// The longest that connecting may take.
+/// Timeout of the TCP connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
-/// How many bytes are read at a time.
+/// Size of the read buffer in bytes.
 const READ_BYTES: usize = 16 * 1024;
 
-/// Why a call of the service has no result.
+/// Error of a call to the service.
 #[derive(Debug, Error)]
 pub enum ClientError {
     /// The caller's certificate, key or roots can't be used.
     #[error(transparent)]
     Tls(#[from] TlsError),
-    /// There is no connection.
-    #[error("{at}: {source}")]
+    /// The connection could not be established.
+    #[error("cannot connect to {address}: {source}")]
     Connect {
-        /// The service's address.
-        at: SocketAddr,
-        /// Why not.
+        /// Address of the service.
+        address: SocketAddr,
+        /// Cause of the failure.
         source: ConnectError,
     },
-    /// What was sent or has come is no message.
+    /// A message could not be encoded or decoded.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// The connection broke.
+    /// The connection failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The connection ended before the answer.
-    #[error("the service has closed the connection")]
+    /// The service closed the connection before it answered.
+    #[error("the service closed the connection before it answered")]
     Closed,
-    /// The service has too many connections.
-    #[error("busy: come back in {retry_ms} ms")]
+    /// The service is at its connection limit.
+    #[error("the service is at its connection limit: retry in {retry_ms} ms")]
     Busy {
-        /// Milliseconds after which to come back.
+        /// Delay before a retry, in milliseconds.
         retry_ms: u64,
     },
-    /// The service's answer is an error: its text.
+    /// The service rejected the command with this message.
     #[error("{0}")]
     Rejected(String),
 }
 
-/// Why there is no connection to a service.
+/// Cause of a failed connection to the service.
 #[derive(Debug, Error)]
 pub enum ConnectError {
-    /// No connection by TCP.
+    /// The TCP connection failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The service's name is not one that a certificate can have.
+    /// The name of the service is not a valid DNS name or IP address.
     #[error(transparent)]
     Name(#[from] InvalidDnsNameError),
-    /// No session by TLS.
+    /// The TLS session could not be created.
     #[error(transparent)]
     Tls(#[from] rustls::Error),
 }
 
-/// Where the service is, and as whom to call it.
+/// Address of the service and credentials of the caller.
 #[derive(Clone, Debug)]
 pub struct Caller {
-    /// The service's address.
+    /// Address of the service.
     pub at: SocketAddr,
-    /// The name in the service's certificate.
+    /// Name that the service's certificate must hold.
     pub name: String,
-    /// The file of the roots by which the service is verified.
+    /// Path of the root certificates that verify the service.
     pub roots: PathBuf,
-    /// The file of the caller's certificate.
+    /// Path of the caller's certificate.
     pub certificate: PathBuf,
-    /// The file of the caller's private key.
+    /// Path of the caller's private key.
     pub key: PathBuf,
 }
 
-/// One connection to a service.
+/// Connection to the service.
 pub struct Connection {
     stream: StreamOwned<ClientConnection, TcpStream>,
     decoder: Decoder,
@@ -98,11 +98,12 @@
     /// [`ClientError::Tls`] and [`ClientError::Connect`].
     pub fn connect(&self) -> Result<Connection, ClientError> {
         let config = tls::client(&self.certificate, &self.key, &self.roots)?;
-        let stream = self.open(config).map_err(|source| ClientError::Connect { at: self.at, source })?;
+        let stream =
+            self.connect_tls(config).map_err(|source| ClientError::Connect { address: self.at, source })?;
         Ok(Connection { stream, decoder: Decoder::default() })
     }
 
-    fn open(
+    fn connect_tls(
         &self,
         config: std::sync::Arc<rustls::ClientConfig>,
     ) -> Result<StreamOwned<ClientConnection, TcpStream>, ConnectError> {
@@ -116,7 +117,7 @@
 }
 
 impl Connection {
-    /// Sends a message.
+    /// Sends a message to the service.
     ///
     /// # Errors
     /// [`ClientError::Frame`] and [`ClientError::Io`].
@@ -127,7 +128,7 @@
         Ok(())
     }
 
-    /// Waits for the next message.
+    /// Waits for the next message of the service.
     ///
     /// # Errors
     /// [`ClientError::Frame`], [`ClientError::Io`] and [`ClientError::Closed`].
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Sends a command, and returns the answer with the documents that came before it.
+    /// Sends a command, and returns the answer with the documents that were received before it.
     fn call(&mut self, command: Command) -> Result<(Value, Documents), ClientError> {
         self.send(&FromGateway::Command { command })?;
         let mut documents = Documents::new();
@@ -163,7 +164,7 @@
     /// Publishes documents, and returns the identifier of the new version.
     ///
     /// # Errors
-    /// [`ClientError`]; [`ClientError::Rejected`] if the service makes no version of them.
+    /// [`ClientError`]; [`ClientError::Rejected`] if the service rejects the documents or the plan.
     pub fn publish(&mut self, documents: &Documents, plan: Plan) -> Result<Value, ClientError> {
         for (name, text) in documents {
             self.send_document(name, text)?;
@@ -172,19 +173,19 @@
     }
 
     fn send_document(&mut self, name: &str, text: &str) -> Result<(), ClientError> {
-        let mut rest = text;
+        let mut unsent = text;
         loop {
-            let (chunk, left) = rest.split_at(rest.floor_char_boundary(MAX_CHUNK_BYTES));
-            let last = left.is_empty();
+            let (chunk, remaining) = unsent.split_at(unsent.floor_char_boundary(MAX_CHUNK_BYTES));
+            let last = remaining.is_empty();
             self.send(&FromGateway::Chunk { name: name.into(), text: chunk.into(), last })?;
             if last {
                 return Ok(());
             }
-            rest = left;
+            unsent = remaining;
         }
     }
 
-    /// Which gateway has which version.
+    /// Returns the status of the service: its versions, the rollout and the version of each gateway.
     ///
     /// # Errors
     /// [`ClientError`].
@@ -192,7 +193,7 @@
         self.call(Command::Status).map(|(answer, _)| answer)
     }
 
-    /// Goes back to the content of an earlier version, and returns the identifier of the new one.
+    /// Publishes a new version with the content of an earlier one, and returns its identifier.
     ///
     /// # Errors
     /// [`ClientError`]; [`ClientError::Rejected`] if there is no such version.
@@ -200,7 +201,7 @@
         self.call(Command::Rollback { number }).map(|(answer, _)| answer)
     }
 
-    /// The identifier and the documents of a version, the newest without a number.
+    /// Returns the identifier and the documents of a version, or of the newest one if `number` is `None`.
     ///
     /// # Errors
     /// [`ClientError`]; [`ClientError::Rejected`] if there is no such version.
--- a/crates/control/src/tls.rs
+++ b/crates/control/src/tls.rs
@@ -1,4 +1,4 @@
-//! Certificates, keys and roots, from files, for both sides.
+//! TLS configurations of the service and its clients, from files of certificates, keys and roots.
 
 use rustls::crypto::CryptoProvider;
 use rustls::pki_types::pem::PemObject;
@@ -10,43 +10,43 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Why TLS can't be configured.
+/// Error of a TLS configuration.
 #[derive(Debug, Error)]
 pub enum TlsError {
     /// A file can't be read.
     #[error("{}: {source}", .file.display())]
     Unreadable {
-        /// Which file.
+        /// Path of the file.
         file: PathBuf,
-        /// The operating system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A file that should hold certificates is not PEM.
-    #[error("{}: not PEM", .0.display())]
+    /// A file of certificates is not PEM-encoded.
+    #[error("{}: expected PEM-encoded certificates", .0.display())]
     NotPem(PathBuf),
-    /// A file that should hold certificates has none.
-    #[error("{}: holds no certificate", .0.display())]
+    /// A file of certificates holds none.
+    #[error("{}: expected at least one certificate, found none", .0.display())]
     NoCertificate(PathBuf),
-    /// A file that should hold a private key has none.
-    #[error("{}: holds no private key", .0.display())]
+    /// A file of a private key holds none.
+    #[error("{}: expected a PEM-encoded private key, found none", .0.display())]
     NoPrivateKey(PathBuf),
-    /// A certificate that can't be a root.
+    /// A certificate can't be used as a root.
     #[error("{}: {source}", .file.display())]
     Root {
-        /// The file of the roots.
+        /// Path of the file of roots.
         file: PathBuf,
-        /// Why not.
+        /// Error of the certificate.
         source: rustls::Error,
     },
-    /// Certificate and key don't fit, or can't be used.
+    /// The certificate and key don't match, or can't be used.
     #[error(transparent)]
     Configuration(#[from] rustls::Error),
-    /// Clients can't be verified against the roots.
+    /// A verifier of client certificates can't be built from the roots.
     #[error(transparent)]
     Verifier(#[from] VerifierBuilderError),
 }
 
-/// The implementation of the cryptography.
+/// Returns the cryptography provider.
 pub fn provider() -> Arc<CryptoProvider> {
     Arc::new(rustls::crypto::ring::default_provider())
 }
@@ -56,9 +56,9 @@
 }
 
 fn certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, TlsError> {
-    let all: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(&read(path)?).collect();
-    let all = all.map_err(|_| TlsError::NotPem(path.into()))?;
-    if all.is_empty() { Err(TlsError::NoCertificate(path.into())) } else { Ok(all) }
+    let certificates: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(&read(path)?).collect();
+    let certificates = certificates.map_err(|_| TlsError::NotPem(path.into()))?;
+    if certificates.is_empty() { Err(TlsError::NoCertificate(path.into())) } else { Ok(certificates) }
 }
 
 fn private_key(path: &Path) -> Result<PrivateKeyDer<'static>, TlsError> {
@@ -73,10 +73,10 @@
     Ok(store)
 }
 
-/// The configuration of a side that asks the other one for a certificate.
+/// Returns the configuration of a server that requires a client certificate.
 ///
 /// # Errors
-/// [`TlsError`] names the file that can't be used.
+/// [`TlsError`] if a file or its content can't be used.
 pub fn server(certificate: &Path, key: &Path, roots: &Path) -> Result<Arc<ServerConfig>, TlsError> {
     let roots = Arc::new(root_store(roots)?);
     let verifier = WebPkiClientVerifier::builder_with_provider(roots, provider()).build();
@@ -84,15 +84,15 @@
         .with_protocol_versions(&[&rustls::version::TLS13])?
         .with_client_cert_verifier(verifier?);
     let mut config = builder.with_single_cert(certificates(certificate)?, private_key(key)?)?;
-    // The role of a client is read from the certificate of each connection.
+    // Sessions are not resumed: the role of a client is read from the certificate of each connection.
     config.session_storage = Arc::new(rustls::server::NoServerSessionStorage {});
     Ok(Arc::new(config))
 }
 
-/// The configuration of a side that connects, and shows a certificate.
+/// Returns the configuration of a client that presents a certificate.
 ///
 /// # Errors
-/// [`TlsError`] names the file that can't be used.
+/// [`TlsError`] if a file or its content can't be used.
 pub fn client(certificate: &Path, key: &Path, roots: &Path) -> Result<Arc<ClientConfig>, TlsError> {
     let builder = ClientConfig::builder_with_provider(provider()).with_safe_default_protocol_versions()?;
     let builder = builder.with_root_certificates(root_store(roots)?);
