--- a/crates/control/src/arguments.rs
+++ b/crates/control/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line arguments of `sagearch-control`.
 
 use clap::{Args, Parser, Subcommand};
 use jiff::SignedDuration;
--- a/crates/control/src/commands.rs
+++ b/crates/control/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands: serving, and the operators' calls of a service.
+//! Commands of the program: the service itself, and the operators' calls to it.
 
 mod error;
 mod feed;
@@ -7,8 +7,8 @@
 pub use error::CommandError;
 
 use crate::arguments::{Command, RolloutArguments, Target};
-use error::milliseconds;
-use output::{print, status_text};
+use error::duration_millis;
+use output::{print_answer, status_text};
 use sagearch_control::DOCUMENT;
 use sagearch_control::client::{Caller, Connection};
 use sagearch_control::server::Server;
@@ -22,25 +22,25 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 
-/// How a command ends that has met no error.
+/// Outcome of a command that ended without an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandOutcome {
-    /// It has done what it says.
+    /// The command succeeded.
     Done,
-    /// It has an answer, and that is a negative one: versions differ, or an offset is not complete in time.
+    /// The answer is negative: two versions differ, or an offset was not in force everywhere in time.
     Negative,
 }
 
-/// The file system, from the working folder on.
-struct Disk;
+/// Files of the local file system, relative to the working folder.
+struct LocalFiles;
 
-impl Files for Disk {
+impl Files for LocalFiles {
     fn read(&self, name: &str) -> Result<String, FileError> {
         Ok(sagearch_folder::read_text(Path::new(name), files::MAX_BYTES as u64)?)
     }
 }
 
-/// Carries out a command.
+/// Runs a command.
 pub fn run(command: &Command) -> Result<CommandOutcome, CommandError> {
     match command {
         Command::Serve { file, .. } => serve(file)?,
@@ -65,19 +65,19 @@
 }
 
 fn serve(file: &Path) -> Result<(), CommandError> {
-    let settings = control::service(&file.to_string_lossy(), &Disk)?;
+    let settings = control::service(&file.to_string_lossy(), &LocalFiles)?;
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
         signal_hook::flag::register(signal, stop.clone()).map_err(CommandError::Signals)?;
     }
-    Server::start(settings)?.run(&stop).map_err(CommandError::Sockets)
+    Server::start(settings)?.run(&stop).map_err(CommandError::EventLoop)
 }
 
-fn plan(rollout: &RolloutArguments) -> Result<Plan, CommandError> {
+fn rollout_plan(rollout: &RolloutArguments) -> Result<Plan, CommandError> {
     let plan = Plan {
         stages: rollout.stages.clone(),
-        soak_ms: milliseconds("--hold", rollout.hold)?,
-        stage_timeout_ms: milliseconds("--within", rollout.within)?,
+        soak_ms: duration_millis("--hold", rollout.hold)?,
+        stage_timeout_ms: duration_millis("--within", rollout.within)?,
         max_nacks: rollout.nacks,
         max_failure_rise_permille: (rollout.rise * 10.0).clamp(0.0, 1_000.0) as u32,
         ..Plan::default()
@@ -87,23 +87,25 @@
 }
 
 fn publish(file: &Path, target: &Target, rollout: &RolloutArguments) -> Result<(), CommandError> {
-    let text = flatten(&file.to_string_lossy(), &Disk)?;
-    let plan = plan(rollout)?;
+    let text = flatten(&file.to_string_lossy(), &LocalFiles)?;
+    let plan = rollout_plan(rollout)?;
     let documents = Documents::from([(DOCUMENT.to_string(), text)]);
     let answer = connect(target)?.publish(&documents, plan)?;
-    print(target.json, &answer, |answer| format!("published as version {}", answer["number"]));
+    print_answer(target.json, &answer, |answer| format!("published as version {}", answer["number"]));
     Ok(())
 }
 
 fn status(target: &Target) -> Result<(), CommandError> {
     let status = connect(target)?.status()?;
-    print(target.json, &status, status_text);
+    print_answer(target.json, &status, status_text);
     Ok(())
 }
 
 fn rollback(number: u64, target: &Target) -> Result<(), CommandError> {
     let answer = connect(target)?.rollback(number)?;
-    print(target.json, &answer, |answer| format!("version {} holds what {number} held", answer["number"]));
+    print_answer(target.json, &answer, |answer| {
+        format!("version {} holds what {number} held", answer["number"])
+    });
     Ok(())
 }
 
@@ -113,12 +115,12 @@
     let after = items_of_version(&mut connection, after)?;
     let changes = compare(&before, &after);
     for change in &changes {
-        print(target.json, &change.to_string().into(), |_| change.to_string());
+        print_answer(target.json, &change.to_string().into(), |_| change.to_string());
     }
     Ok(if changes.is_empty() { CommandOutcome::Done } else { CommandOutcome::Negative })
 }
 
-/// What a stored version states.
+/// Parses the operators' document of a stored version.
 fn items_of_version(connection: &mut Connection, number: u64) -> Result<Vec<Item>, CommandError> {
     let (_, documents) = connection.show(Some(number))?;
     let text = documents.get(DOCUMENT).cloned().unwrap_or_default();
--- a/crates/control/src/commands/error.rs
+++ b/crates/control/src/commands/error.rs
@@ -1,4 +1,4 @@
-//! Why a command fails.
+//! Errors of the commands.
 
 use super::feed::FeedError;
 use jiff::SignedDuration;
@@ -9,53 +9,53 @@
 use std::io;
 use thiserror::Error;
 
-/// Why a command fails.
+/// Error of a command.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// The operators' file has faults, each with file, line and column.
+    /// The operators' file has errors, reported with file, line and column.
     #[error(transparent)]
     File(#[from] Diagnostics),
-    /// A version that the service has stored can't be read here.
+    /// A version stored by the service can't be parsed by this program.
     #[error("version {number}: {diagnostics}")]
     StoredVersion {
-        /// The version.
+        /// Number of the version.
         number: u64,
-        /// The faults of its document, each with line and column.
+        /// Errors in its document, with line and column.
         #[source]
         diagnostics: Diagnostics,
     },
-    /// A time of the command line can't be used.
+    /// An option's duration is negative.
     #[error(transparent)]
-    Time(#[from] NegativeTime),
-    /// The stages of the command line are no rollout.
+    Duration(#[from] NegativeDuration),
+    /// The options don't form a valid rollout plan.
     #[error(transparent)]
     Plan(#[from] PlanError),
-    /// The service has not done what it was called for.
+    /// The call to the service failed.
     #[error(transparent)]
     Client(#[from] ClientError),
-    /// The service does not start.
+    /// The service could not start.
     #[error(transparent)]
     Server(#[from] ServerError),
-    /// Signals can't be received.
-    #[error("signals can't be received: {0}")]
+    /// The signal handlers can't be installed.
+    #[error("cannot install the signal handlers: {0}")]
     Signals(#[source] io::Error),
     /// The service's sockets can't be polled.
-    #[error("the sockets can't be polled: {0}")]
-    Sockets(#[source] io::Error),
-    /// No relay has done what it was called for.
+    #[error("cannot poll the service's sockets: {0}")]
+    EventLoop(#[source] io::Error),
+    /// The call to the relays failed.
     #[error(transparent)]
     Feed(#[from] FeedError),
 }
 
-/// A span of time that is below zero.
+/// Error of an option whose duration is negative.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("{option}: a time can't be negative")]
-pub struct NegativeTime {
-    /// The option that states it.
+#[error("{option}: expected a duration of zero or more, got a negative one")]
+pub struct NegativeDuration {
+    /// Name of the option.
     pub option: &'static str,
 }
 
-/// The milliseconds of a time that an option states.
-pub fn milliseconds(option: &'static str, span: SignedDuration) -> Result<u64, NegativeTime> {
-    u64::try_from(span.as_millis()).map_err(|_| NegativeTime { option })
+/// Converts the duration given to an option to milliseconds.
+pub fn duration_millis(option: &'static str, duration: SignedDuration) -> Result<u64, NegativeDuration> {
+    u64::try_from(duration.as_millis()).map_err(|_| NegativeDuration { option })
 }
--- a/crates/control/src/commands/feed/relay_client.rs
+++ b/crates/control/src/commands/feed/relay_client.rs
@@ -1,6 +1,6 @@
-//! HTTP calls of relays.
+//! HTTP calls to relays.
 
-use crate::commands::error::NegativeTime;
+use crate::commands::error::NegativeDuration;
 use serde_json::Value;
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,58 +8,58 @@
 use thiserror::Error;
 use ureq::http::StatusCode;
 
-/// How long a connection to a relay may take.
+/// Timeout of connecting to a relay.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest answer that is read, in bytes: a status of some ten thousand subscribers.
+/// Size limit of an answer: enough for the status of some ten thousand subscribers.
 const MAX_ANSWER_BYTES: u64 = 16 * 1024 * 1024;
 
-/// Why no relay has answered.
+/// Error of a command to the relays.
 #[derive(Debug, Error)]
 pub enum FeedError {
-    /// A time of the command line can't be used.
+    /// An option's duration is negative.
     #[error(transparent)]
-    Time(#[from] NegativeTime),
-    /// A relay's answer is no result.
+    Duration(#[from] NegativeDuration),
+    /// A relay answered with an error or with invalid JSON.
     #[error(transparent)]
     Relay(#[from] RelayError),
-    /// Each relay is out of reach or overloaded.
-    #[error("{}", Lines(.0))]
+    /// Every relay is unreachable or overloaded.
+    #[error("{}", ErrorLines(.0))]
     NoRelay(Vec<RelayError>),
 }
 
-/// Why a relay has not done what it was called for.
+/// Error of a call to one relay.
 #[derive(Debug, Error)]
 pub enum RelayError {
-    /// It can't be reached, or its answer is cut off, too long or too late.
+    /// The relay can't be reached, or its answer is truncated, too long or too late.
     #[error("{relay}: {source}")]
     Call {
-        /// The relay's address.
+        /// Address of the relay.
         relay: SocketAddr,
-        /// Why not.
+        /// Error of the HTTP client.
         source: ureq::Error,
     },
-    /// It has answered with an error.
+    /// The relay answered with an error status.
     #[error("{relay}: {} {}", .status.as_u16(), .answer.trim())]
     Status {
-        /// The relay's address.
+        /// Address of the relay.
         relay: SocketAddr,
-        /// The status.
+        /// HTTP status of the answer.
         status: StatusCode,
-        /// The body, for operators.
+        /// Body of the answer, which is a message for operators.
         answer: String,
     },
-    /// Its answer is not JSON.
-    #[error("{relay}: the answer is no JSON: {source}")]
+    /// The answer is not valid JSON.
+    #[error("{relay}: expected a JSON answer: {source}")]
     NotJson {
-        /// The relay's address.
+        /// Address of the relay.
         relay: SocketAddr,
-        /// Where and why not.
+        /// Error of the JSON parser, with its position.
         source: serde_json::Error,
     },
 }
 
 impl RelayError {
-    /// Whether another relay may answer instead: this one has not answered, or is overloaded.
+    /// Whether the next relay is to be called, because this one did not answer or is overloaded.
     fn is_unavailable(&self) -> bool {
         match self {
             RelayError::Call { .. } => true,
@@ -69,34 +69,34 @@
     }
 }
 
-/// Errors, one a line.
-struct Lines<'a>(&'a [RelayError]);
+/// Displays errors one per line.
+struct ErrorLines<'a>(&'a [RelayError]);
 
-impl fmt::Display for Lines<'_> {
+impl fmt::Display for ErrorLines<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let lines: Vec<String> = self.0.iter().map(RelayError::to_string).collect();
         f.write_str(&lines.join("\n"))
     }
 }
 
-/// The method of a call.
+/// HTTP method of a call.
 #[derive(Clone, Copy)]
 pub enum Method {
     Get,
     Post,
 }
 
-/// A call that any relay can answer.
+/// HTTP request that any relay can answer.
 pub struct RelayCall {
     pub method: Method,
-    /// Path and query.
+    /// Path and query of the URL.
     pub path: String,
-    /// How long the answer may take, with the connection.
+    /// Timeout of the complete call, including the connection.
     pub timeout: Duration,
 }
 
 impl RelayCall {
-    /// Calls one relay after the other until one answers; one that is overloaded has not.
+    /// Calls the relays in order until one answers. An overloaded relay counts as unavailable.
     pub fn first_answer(&self, relays: &[SocketAddr]) -> Result<Value, FeedError> {
         let mut unavailable = Vec::new();
         for relay in relays {
--- a/crates/control/src/commands/output.rs
+++ b/crates/control/src/commands/output.rs
@@ -1,15 +1,15 @@
-//! Answers as operators read them, or as JSON.
+//! Output of answers as text for operators, or as JSON.
 
 use serde_json::Value;
 use std::fmt::Write;
 
-/// Prints an answer as JSON, or as the text made of it.
-pub fn print(json: bool, answer: &Value, text: impl FnOnce(&Value) -> String) {
+/// Prints an answer as JSON, or as the text that `text` makes of it.
+pub fn print_answer(json: bool, answer: &Value, text: impl FnOnce(&Value) -> String) {
     let line = if json { answer.to_string() } else { text(answer) };
     println!("{line}");
 }
 
-/// A service's status as lines: the versions, the rollout, and a line for each gateway.
+/// Formats the status of the service: the versions, the rollout, and one line for each gateway.
 pub fn status_text(status: &Value) -> String {
     let mut lines = vec![format!(
         "epoch {}, stable {}, {} gateways connected, {} wait",
@@ -34,35 +34,35 @@
     let mut line = format!("{}  has {}  wants {}", gateway["node"], gateway["have"], gateway["wanted"]);
     let rejected = &gateway["turned_down"];
     if !rejected.is_null() {
-        // Writing to a string does not fail.
+        // Writing to a String never fails.
         let _ = write!(line, "  turned down {}: {}", rejected["version"], rejected["cause"]);
     }
     line
 }
 
-/// A relay's status as lines, one fact or one subscriber a line.
+/// Formats the status of a relay, with one line for each field and each subscriber.
 pub fn relay_status_text(status: &Value) -> String {
     let mut lines = Vec::new();
     for (key, value) in status.as_object().into_iter().flatten() {
         match value {
             Value::Array(entries) => {
                 lines.push(format!("{key}: {}", entries.len()));
-                lines.extend(entries.iter().map(|entry| format!("  {}", fields(entry))));
+                lines.extend(entries.iter().map(|entry| format!("  {}", format_value(entry))));
             }
-            value => lines.push(format!("{key}: {}", fields(value))),
+            value => lines.push(format!("{key}: {}", format_value(value))),
         }
     }
     lines.join("\n")
 }
 
-/// A value in one line: `key value` pairs without JSON's marks.
-fn fields(value: &Value) -> String {
+/// Formats a value in one line, as `key value` pairs without JSON's punctuation.
+fn format_value(value: &Value) -> String {
     match value {
         Value::Object(object) => {
-            let pair = |(key, value): (&String, &Value)| format!("{key} {}", fields(value));
+            let pair = |(key, value): (&String, &Value)| format!("{key} {}", format_value(value));
             object.iter().map(pair).collect::<Vec<_>>().join("  ")
         }
-        Value::Array(values) => values.iter().map(fields).collect::<Vec<_>>().join(","),
+        Value::Array(values) => values.iter().map(format_value).collect::<Vec<_>>().join(","),
         Value::String(text) => text.clone(),
         Value::Null => "-".into(),
         value => value.to_string(),
--- a/crates/control/src/main.rs
+++ b/crates/control/src/main.rs
@@ -1,4 +1,4 @@
-//! `sagearch-control`, which `sagearch control` calls: the service, and the operators' commands to it.
+//! `sagearch-control`, run by `sagearch control`: the control service, and the operators' commands to it.
 
 mod arguments;
 mod commands;
@@ -8,28 +8,28 @@
 use commands::CommandOutcome;
 use std::process::ExitCode;
 
-/// The exit code of a command whose answer is a negative one.
-const NEGATIVE: u8 = 1;
-/// The exit code after an error.
-const FAILURE: u8 = 2;
+/// Exit code of a command whose answer is negative.
+const EXIT_NEGATIVE: u8 = 1;
+/// Exit code of a command that failed.
+const EXIT_FAILURE: u8 = 2;
 
-fn start_log(command: &Command) {
-    let lines = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false);
+fn init_logging(command: &Command) {
+    let subscriber = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false);
     match command {
-        Command::Serve { log_json: true, .. } => lines.json().init(),
-        _ => lines.init(),
+        Command::Serve { log_json: true, .. } => subscriber.json().init(),
+        _ => subscriber.init(),
     }
 }
 
 fn main() -> ExitCode {
     let command = Cli::parse().command;
-    start_log(&command);
+    init_logging(&command);
     match commands::run(&command) {
         Ok(CommandOutcome::Done) => ExitCode::SUCCESS,
-        Ok(CommandOutcome::Negative) => ExitCode::from(NEGATIVE),
+        Ok(CommandOutcome::Negative) => ExitCode::from(EXIT_NEGATIVE),
         Err(error) => {
             eprintln!("{error}");
-            ExitCode::from(FAILURE)
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
