--- a/crates/control/tests/cli.rs
+++ b/crates/control/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The program itself: serve, publish, status, diff and rollback, as operators call them.
+//! End-to-end test of the program: serve, publish, status, diff and rollback, run as operators run them.
 
 use rcgen::{BasicConstraints, CertificateParams, ExtendedKeyUsagePurpose, IsCa, Issuer, KeyPair, SanType};
 use serde_json::Value;
@@ -6,6 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
+/// Working folder of the programs, with certificates of the service and of an operator.
 struct Fixture(PathBuf);
 
 impl Drop for Fixture {
@@ -32,7 +33,7 @@
         let key = KeyPair::generate().unwrap();
         std::fs::write(folder.join("ca.pem"), params.self_signed(&key).unwrap().pem()).unwrap();
         let ca = Issuer::new(params, key);
-        let pair = |name: &str, san: SanType, usage| {
+        let write_key_pair = |name: &str, san: SanType, usage| {
             let mut params = CertificateParams::new(Vec::new()).unwrap();
             params.subject_alt_names = vec![san];
             params.extended_key_usages = vec![usage];
@@ -41,12 +42,12 @@
                 .unwrap();
             std::fs::write(folder.join(format!("{name}.key")), key.serialize_pem()).unwrap();
         };
-        pair(
+        write_key_pair(
             "service",
             SanType::DnsName("service.test".try_into().unwrap()),
             ExtendedKeyUsagePurpose::ServerAuth,
         );
-        pair(
+        write_key_pair(
             "ops",
             SanType::URI("spiffe://test/ops/one".try_into().unwrap()),
             ExtendedKeyUsagePurpose::ClientAuth,
@@ -54,7 +55,7 @@
         Fixture(folder)
     }
 
-    /// Starts the service at any port, and says which.
+    /// Starts the service on a free port, and returns its address.
     fn serve(&self) -> (Service, String) {
         let mut child = Command::new(env!("CARGO_BIN_EXE_sagearch-control"))
             .current_dir(&self.0)
@@ -65,17 +66,18 @@
         let mut lines = BufReader::new(child.stderr.take().unwrap()).lines();
         let line =
             lines.find(|line| line.as_ref().is_ok_and(|line| line.contains("listens"))).unwrap().unwrap();
-        let at = line.split("at=").nth(1).unwrap().split(' ').next().unwrap().to_string();
-        // What it says later must not fill its pipe.
+        let address = line.split("at=").nth(1).unwrap().split(' ').next().unwrap().to_string();
+        // Drains standard error, so that the pipe never fills and blocks the service.
         std::thread::spawn(move || lines.for_each(drop));
-        (Service(child), at)
+        (Service(child), address)
     }
 
-    fn run(&self, at: &str, command: &str) -> (i32, String, String) {
-        let to = format!("--to {at} --name service.test --roots ca.pem --certificate ops.pem --key ops.key");
+    fn run(&self, address: &str, command: &str) -> (i32, String, String) {
+        let target =
+            format!("--to {address} --name service.test --roots ca.pem --certificate ops.pem --key ops.key");
         let output = Command::new(env!("CARGO_BIN_EXE_sagearch-control"))
             .current_dir(&self.0)
-            .args(command.split(' ').chain(to.split(' ')))
+            .args(command.split(' ').chain(target.split(' ')))
             .output()
             .unwrap();
         let text = |bytes| String::from_utf8(bytes).unwrap();
@@ -98,35 +100,36 @@
     fixture.write("v1.kdl", "include \"limits.kdl\"\n");
     fixture.write("limits.kdl", "limits lookups=5\n");
     fixture.write("bad.kdl", "limits lookups=0\nrouts\n");
-    let (service, at) = fixture.serve();
-    assert_eq!(fixture.run(&at, "publish v1.kdl --hold 0s").1, "published as version 1\n");
-    // With no gateways connected each stage is over at once.
-    let stable = |number: i64| {
+    let (service, address) = fixture.serve();
+    assert_eq!(fixture.run(&address, "publish v1.kdl --hold 0s").1, "published as version 1\n");
+    // Without connected gateways, each stage completes immediately.
+    let wait_until_stable = |number: i64| {
         for _ in 0..200 {
-            let status: Value = serde_json::from_str(&fixture.run(&at, "status --json").1).unwrap();
+            let status: Value = serde_json::from_str(&fixture.run(&address, "status --json").1).unwrap();
             if status["stable"] == number {
                 return;
             }
         }
-        panic!("version {number} never counts");
+        panic!("version {number} did not become stable");
     };
-    stable(1);
-    let (code, _, fault) = fixture.run(&at, "publish bad.kdl");
+    wait_until_stable(1);
+    let (code, _, diagnostics) = fixture.run(&address, "publish bad.kdl");
     assert_eq!(code, 2);
     assert!(
-        fault.starts_with("bad.kdl:1:8: lookups is no") && fault.contains("bad.kdl:2:1: \"routs\""),
-        "{fault}"
+        diagnostics.starts_with("bad.kdl:1:8: lookups is no")
+            && diagnostics.contains("bad.kdl:2:1: \"routs\""),
+        "{diagnostics}"
     );
-    assert_eq!(fixture.run(&at, "publish v1.kdl --stages 50,20").0, 2);
+    assert_eq!(fixture.run(&address, "publish v1.kdl --stages 50,20").0, 2);
     fixture.write("limits.kdl", "limits lookups=6\n");
-    assert_eq!(fixture.run(&at, "publish v1.kdl --stages 100 --hold 0s").1, "published as version 2\n");
-    stable(2);
-    let (code, changes, _) = fixture.run(&at, "diff 1 2");
+    assert_eq!(fixture.run(&address, "publish v1.kdl --stages 100 --hold 0s").1, "published as version 2\n");
+    wait_until_stable(2);
+    let (code, changes, _) = fixture.run(&address, "diff 1 2");
     assert_eq!((code, changes.as_str()), (1, "~ limits: lookups=5 -> lookups=6\n"));
-    // What it knows outlives it.
+    // A restarted service loads the stored versions and state.
     drop(service);
-    let (_service, at) = fixture.serve();
-    let run_at_restarted = |command: &str| fixture.run(&at, command);
+    let (_service, address) = fixture.serve();
+    let run_at_restarted = |command: &str| fixture.run(&address, command);
     assert_eq!(run_at_restarted("rollback 1").1, "version 3 holds what 1 held\n");
     assert_eq!(run_at_restarted("diff 1 3").0, 0);
     assert_eq!(run_at_restarted("rollback 9").0, 2);
--- a/crates/control/tests/feed.rs
+++ b/crates/control/tests/feed.rs
@@ -1,4 +1,4 @@
-//! The commands to relays, against a relay in this process that follows a small stand-in of the event bus.
+//! Commands to relays, run against a relay in this process that subscribes to a stub of the event bus.
 
 use sagearch_operators::OneFile;
 use sagearch_operators::relay::relay;
@@ -9,29 +9,34 @@
 use std::process::{Command, Output};
 use std::time::{Duration, Instant};
 
-/// A bus with one event, a list; it holds polls for what is later. Ends with the test.
-fn start_bus() -> SocketAddr {
+/// Starts a stub of the event bus, which runs until the process ends.
+///
+/// It has one event, a full topology. Polls for later offsets are answered with an empty batch after a delay.
+fn start_event_bus_stub() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            std::thread::spawn(move || serve_bus(stream));
+            std::thread::spawn(move || serve_event_bus(stream));
         }
     });
     address
 }
 
-fn serve_bus(mut stream: TcpStream) -> Option<()> {
+fn serve_event_bus(mut stream: TcpStream) -> Option<()> {
     let mut lines = BufReader::new(stream.try_clone().ok()?).lines();
     loop {
         let request = lines.next()?.ok()?;
         while !lines.next()?.ok()?.is_empty() {}
-        let news = request.contains("from=0&");
-        if !news {
+        let is_first_poll = request.contains("from=0&");
+        if !is_first_poll {
             std::thread::sleep(Duration::from_millis(100));
         }
-        let batch =
-            if news { r#"{"offset":1,"topology":{"generation":1,"reset":true,"instances":[]}}"# } else { "" };
+        let batch = if is_first_poll {
+            r#"{"offset":1,"topology":{"generation":1,"reset":true,"instances":[]}}"#
+        } else {
+            ""
+        };
         let body = format!(r#"{{"offset":1,"feed":"feed-a","batch":[{batch}]}}"#);
         write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).ok()?;
     }
@@ -43,21 +48,21 @@
 }
 
 impl Fixture {
-    /// A relay with a lease so long that acknowledgements come before its end.
+    /// Starts a relay with a lease long enough that the acknowledgements of the test arrive before it expires.
     fn start() -> Fixture {
         let runtime = tokio::runtime::Runtime::new().unwrap();
         let text = format!(
             "relay \"r1\" listen=\"127.0.0.1:0\" lease=\"4s\" {{\n    upstream \"{}\"\n}}\n",
-            start_bus()
+            start_event_bus_stub()
         );
         let file = relay("relay.kdl", &OneFile { name: "relay.kdl", text: &text }).unwrap();
         let relay = runtime.block_on(async { RunningRelay::start(&file) }).unwrap();
         Fixture { runtime, relay }
     }
 
-    /// A poll of a gateway, once the relay has its first event.
+    /// Polls the relay as a gateway, until the relay has received its first event.
     fn poll(&self, from: u64) {
-        let began = Instant::now();
+        let started_at = Instant::now();
         loop {
             let mut stream = TcpStream::connect(self.relay.address).unwrap();
             let path = format!("/bus/read?from={from}&hold=0&feed=feed-a&name=gate/1&incarnation=5");
@@ -67,7 +72,7 @@
             if answer.starts_with("HTTP/1.1 200") && answer.contains("\"offset\":1") {
                 return;
             }
-            assert!(began.elapsed() < Duration::from_secs(20), "{answer}");
+            assert!(started_at.elapsed() < Duration::from_secs(20), "{answer}");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
@@ -91,7 +96,7 @@
 }
 
 #[test]
-fn commands_to_a_relay_show_wait_and_forget() {
+fn feed_commands_show_the_status_wait_for_an_offset_and_forget_a_subscriber() {
     let fixture = Fixture::start();
     fixture.poll(0);
 
@@ -124,19 +129,19 @@
 }
 
 #[test]
-fn relays_out_of_reach_are_passed_over_and_none_left_is_an_error() {
+fn unreachable_relay_is_skipped_and_no_reachable_relay_is_an_error() {
     let fixture = Fixture::start();
     fixture.poll(0);
-    let nobody = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
+    let unreachable = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
     let address = fixture.relay.address.to_string();
-    let both = feed(&nobody, &["status", "--json", "--relay", &address]);
-    assert_eq!(json(&both)["relay"], "r1");
+    let second_relay_answer = feed(&unreachable, &["status", "--json", "--relay", &address]);
+    assert_eq!(json(&second_relay_answer)["relay"], "r1");
 
-    let none = feed(&nobody, &["status"]);
-    assert_eq!(none.status.code(), Some(2));
-    assert!(String::from_utf8(none.stderr).unwrap().contains(&nobody));
+    let no_answer = feed(&unreachable, &["status"]);
+    assert_eq!(no_answer.status.code(), Some(2));
+    assert!(String::from_utf8(no_answer.stderr).unwrap().contains(&unreachable));
 
-    let long = fixture.feed(&["wait", "1", "--within", "2h"]);
-    assert_eq!(long.status.code(), Some(2));
-    assert!(String::from_utf8(long.stderr).unwrap().contains("within_ms is over 60000"));
+    let rejected = fixture.feed(&["wait", "1", "--within", "2h"]);
+    assert_eq!(rejected.status.code(), Some(2));
+    assert!(String::from_utf8(rejected.stderr).unwrap().contains("within_ms is over 60000"));
 }
