--- a/src/net/configuration/layered_config.rs
+++ b/src/net/configuration/layered_config.rs
@@ -1,7 +1,7 @@
-//! The layered configuration: the operators' file of this gateway, and over it the version streamed by a control service.
+//! The layered configuration: the operators' file of this gateway, overlaid by the version that a control service streams.
 //!
-//! A streamed version replaces the file's identity, routes, limits and key sets. Addresses, TLS and the roots of client
-//! certificates always come from the file. One layer changes at a time, and as a whole.
+//! A streamed version overrides the file's identity, routes, limits and key sets. Addresses, TLS and the roots of client
+//! certificates always come from the file. Changes are atomic and replace one layer at a time.
 
 use crate::net::configuration::identity::{Guard, StagedSnapshot, VersionConfig, VersionError};
 use crate::net::lock;
@@ -13,56 +13,57 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use thiserror::Error;
 
-/// The document of a version that holds its configuration, in the operators' language.
+/// Name of the document that holds a version's configuration in the language of the operators' file.
 pub const DOCUMENT: &str = "operators.kdl";
-/// The document of a version that holds the same as JSON, as the control service has read and checked it.
+/// Name of the document that holds the same configuration as JSON, as parsed and checked by the control service.
 pub const COMPILED: &str = "operators.json";
 
-/// Why nobody is served before the first version, for operators.
+/// Cause that is logged when requests are rejected because no version has been received.
 const NO_VERSION_YET: &str = "no version has come yet";
 
-/// A streamed version, with its configuration as types.
+/// A streamed version and its parsed configuration.
 struct StreamedLayer {
     version: Arc<Version>,
     operators: Operators,
 }
 
+/// Both layers, under one lock.
 #[derive(Default)]
 struct State {
     file: Operators,
     streamed: Option<StreamedLayer>,
-    /// Routes come from the consensus group, and not from the layers.
+    /// Routes come from the consensus group instead of the layers.
     has_consensus_routes: bool,
 }
 
-/// The layers of the configuration, and the guard that brings them into force.
+/// The layers of the configuration, and the guard in which their merged form is put in force.
 pub struct LayeredConfig {
     guard: Arc<Guard>,
     state: Mutex<State>,
 }
 
-/// Why a streamed version can't be in force here.
+/// Why a streamed version can't be staged on this gateway.
 #[derive(Debug, Error)]
 pub enum StageError {
-    /// It holds no [`DOCUMENT`].
+    /// The version has no document named [`DOCUMENT`].
     #[error("it has no {DOCUMENT}")]
     MissingDocument,
-    /// Its document has faults, with line and column.
+    /// The version's document has faults, reported with line and column.
     #[error(transparent)]
     Document(#[from] Diagnostics),
-    /// Together with the file it can't be used.
+    /// The configuration merged from the version and the operators' file is not valid.
     #[error(transparent)]
     Snapshot(#[from] VersionError),
 }
 
-/// A streamed version that is ready to be in force.
+/// A streamed version that has been read and checked, ready to be committed.
 pub struct StagedVersion<'a> {
     state: MutexGuard<'a, State>,
     snapshot: StagedSnapshot<'a>,
     layer: StreamedLayer,
 }
 
-/// The configuration of both layers together.
+/// Merges the two layers into one configuration.
 fn merge(file: &Operators, streamed: Option<&StreamedLayer>, has_consensus_routes: bool) -> VersionConfig {
     let mut config = VersionConfig::from_operators(file);
     if let Some(layer) = streamed {
@@ -74,13 +75,13 @@
     config
 }
 
-/// Puts a streamed version over the file's configuration.
+/// Overrides the file's configuration with that of a streamed version.
 fn overlay(config: &mut VersionConfig, StreamedLayer { version, operators }: &StreamedLayer) {
     let streamed = VersionConfig::from_operators(operators);
     config.version = version.id.to_string().into();
     if let Some(mut identity) = streamed.identity {
-        // The roots of client certificates are files of this machine.
-        identity.trust = config.identity.take().map(|own| own.trust).unwrap_or_default();
+        // The roots of client certificates are files on this machine, so the operators' file names them.
+        identity.trust = config.identity.take().map(|file_identity| file_identity.trust).unwrap_or_default();
         config.identity = Some(identity);
     }
     config.routes = streamed.routes.or(config.routes.take());
@@ -89,42 +90,43 @@
 }
 
 impl LayeredConfig {
-    /// Layers without a configuration.
+    /// Creates empty layers.
     pub fn new(guard: Arc<Guard>) -> LayeredConfig {
         LayeredConfig { guard, state: Mutex::default() }
     }
 
-    /// Applies the file of the start. One that can't be used does not stop the start; nobody is served until it can be.
+    /// Applies the operators' file at startup. An invalid file does not prevent startup, but all requests are rejected until
+    /// it is valid.
     pub fn start(&self, operators: &Result<Operators, impl Display>) {
         let mut state = lock(&self.state);
         state.file = operators.as_ref().ok().cloned().unwrap_or_default();
         self.guard.start(operators);
     }
 
-    /// From now on routes come from the consensus group.
+    /// Takes routes from the consensus group from now on, instead of the layers.
     pub fn use_consensus_routes(&self) {
         lock(&self.state).has_consensus_routes = true;
     }
 
-    /// Serves nobody until a first version is in force, where the file asks for that.
+    /// Rejects all requests until a first version is in force, if the operators' file requires one.
     pub fn seal_until_first_version(&self, control: &Control) {
         if control.refuses_without && lock(&self.state).streamed.is_none() {
             self.guard.version.seal(NO_VERSION_YET);
         }
     }
 
-    /// Reads and checks a version together with the file, without bringing it into force.
+    /// Reads a version and checks it together with the operators' file, without putting it in force.
     ///
     /// # Errors
     ///
-    /// If its document is missing or has faults, or it can't be used together with the file.
+    /// If its document is missing or has faults, or the configuration merged with the file is not valid.
     pub fn stage(&self, version: &Arc<Version>) -> Result<StagedVersion<'_>, StageError> {
         let state = lock(&self.state);
         let text = version.documents.get(DOCUMENT).ok_or(StageError::MissingDocument)?;
-        let surroundings = &self.guard.version.snapshot().deployment.names;
+        let deployment_names = &self.guard.version.snapshot().deployment.names;
         let operators = match version.documents.get(COMPILED) {
-            Some(form) => compiled(DOCUMENT, text, form, surroundings)?,
-            None => streamed(DOCUMENT, text, surroundings)?,
+            Some(compiled_form) => compiled(DOCUMENT, text, compiled_form, deployment_names)?,
+            None => streamed(DOCUMENT, text, deployment_names)?,
         };
         let layer = StreamedLayer { version: version.clone(), operators };
         let config = merge(&state.file, Some(&layer), state.has_consensus_routes);
@@ -132,22 +134,22 @@
         Ok(StagedVersion { state, snapshot, layer })
     }
 
-    /// Brings a version into force.
+    /// Puts a staged version in force.
     pub fn commit(&self, staged: StagedVersion<'_>) {
         let StagedVersion { mut state, snapshot, layer } = staged;
         self.guard.commit(snapshot);
         let previous = state.streamed.replace(layer);
         drop(state);
-        // Dropped without the lock: with thousands of tenants that takes a while.
+        // Dropped after the lock is released, because dropping thousands of tenants is slow.
         drop(previous);
     }
 
-    /// Brings a changed file into force, and with it the deployment's settings. `before_commit` is called once nothing can
+    /// Puts a changed operators' file and the settings of the deployment in force. `before_commit` is called once no step can
     /// fail any more.
     ///
     /// # Errors
     ///
-    /// If the file can't be used; what is in force stays.
+    /// If the file is not valid; the configuration in force is kept.
     pub fn replace_file(
         &self,
         file: Operators,
@@ -155,8 +157,8 @@
         before_commit: impl FnOnce(&Deployment),
     ) -> Result<(), VersionError> {
         let mut state = lock(&self.state);
-        let needs_version = file.control.as_ref().is_some_and(|control| control.refuses_without);
-        let is_sealed = state.streamed.is_none() && needs_version;
+        let requires_version = file.control.as_ref().is_some_and(|control| control.refuses_without);
+        let is_sealed = state.streamed.is_none() && requires_version;
         let config = merge(&file, state.streamed.as_ref(), state.has_consensus_routes);
         let staged = self.guard.version.stage(config, Some(deployment))?;
         before_commit(&staged.snapshot.deployment);
