--- a/src/net/configuration.rs
+++ b/src/net/configuration.rs
@@ -1,4 +1,5 @@
-//! Which configuration is in force: the operators' file, versions streamed by the control service, and identity's keys.
+//! Configuration of the gateway: the operators' file, versions streamed by a control service, and the identity layer's
+//! key sets and certificates.
 
 pub mod control;
 pub mod identity;
--- a/src/net/configuration/control.rs
+++ b/src/net/configuration/control.rs
@@ -1,12 +1,12 @@
-//! Follows control services, which stream versions of the configuration: the connections, files and clock of the state
-//! machine [`sagearch_stream::subscriber`].
+//! Receives versions of the configuration from control services. Provides connections, storage and time to the state
+//! machine in [`sagearch_stream::subscriber`].
 //!
-//! All of it runs on a thread of its own, which may block on the disk and the network. Requests only see the snapshot of a
-//! version once it is swapped.
+//! Runs on a dedicated thread, which may block on disk and network I/O. Requests see a version only once its snapshot is
+//! in force.
 //!
-//! - `connection`: opens connections over TLS;
-//! - `notices`: what operators are told;
-//! - `stored_versions`: the versions on the disk.
+//! - `connection`: opens TLS connections to control services;
+//! - `notices`: logs and counts the events that operators are notified of;
+//! - `stored_versions`: stores versions on disk and resumes from them.
 
 mod connection;
 mod notices;
@@ -29,53 +29,54 @@
 use std::time::Instant;
 pub use stored_versions::resume;
 
-/// Keeps the subscriber's random numbers apart from those of other parts with the same seed.
+/// Makes the subscriber's random sequence differ from those of other components with the same seed.
 const SEED_SALT: u64 = 0xc0_47_01;
-/// The stack of the follower's thread.
+/// Stack size of the follower thread.
 const STACK_BYTES: usize = 1024 * 1024;
-/// How many bytes are read at a time.
-const READ_BYTES: usize = 64 * 1024;
-/// The gateway's clock counts microseconds, the state machine milliseconds.
-const MICROS_PER_MILLISECOND: u64 = 1_000;
+/// Size of the buffer for reads from a connection.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+/// Converts the gateway's clock, in microseconds, to the state machine's milliseconds.
+const MICROS_PER_MILLI: u64 = 1_000;
 
-/// Aborts the process at a named step, where a test asks for it. Released programs have no such steps.
+/// Aborts the process at the step named by the environment variable `SAGEARCH_CRASH_AT`, for crash tests. Has no effect
+/// in release builds.
 fn crash_point(name: &str) {
-    if cfg!(debug_assertions) && std::env::var("SAGEARCH_CRASH_AT").is_ok_and(|at| at == name) {
+    if cfg!(debug_assertions) && std::env::var("SAGEARCH_CRASH_AT").is_ok_and(|step| step == name) {
         std::process::abort();
     }
 }
 
-/// A connection to a control service, and what has been received on it of the next message.
+/// A connection to a control service, with a decoder that buffers partially received messages.
 struct Connection {
     stream: Stream,
     decoder: Decoder,
 }
 
-/// Follows the control services with one connection at a time.
+/// Runs the subscriber against the control services, over one connection at a time.
 struct Follower<'a> {
     config: &'a LayeredConfig,
     admission: &'a Admission,
     metrics: &'a Metrics,
     control: Control,
     clock: Clock,
-    /// Distinguishes processes that store versions in the same folder.
+    /// Identifies this process among those that store versions in the same folder.
     instance: u64,
     subscriber: Subscriber,
     connection: Option<Connection>,
-    /// Staged, and not in force yet.
+    /// The version that has been staged but is not in force yet.
     staged: Option<StagedVersion<'a>>,
-    /// When the version that is being applied was complete.
+    /// When the version that is being applied had been received completely.
     assembled_at: Instant,
 }
 
 impl Follower<'_> {
-    /// Milliseconds on the gateway's clock.
-    fn now(&self) -> u64 {
-        self.clock.now() / MICROS_PER_MILLISECOND
+    /// Returns the time of the gateway's clock in milliseconds.
+    fn now_millis(&self) -> u64 {
+        self.clock.now() / MICROS_PER_MILLI
     }
 
     fn run(&mut self, stopping: &AtomicBool) {
-        let mut buffer = vec![0; READ_BYTES];
+        let mut buffer = vec![0; READ_BUFFER_BYTES];
         while !stopping.load(Ordering::SeqCst) {
             self.subscriber.set_counts(self.admission.counts());
             self.handle(Input::Tick);
@@ -84,7 +85,7 @@
                 continue;
             };
             match stream.read(&mut buffer) {
-                Ok(0) => self.connection_lost("it closed the connection"),
+                Ok(0) => self.connection_lost("the control service closed the connection"),
                 Ok(read) => {
                     decoder.push(&buffer[..read]);
                     self.handle_messages();
@@ -98,9 +99,9 @@
 
     fn handle_messages(&mut self) {
         loop {
-            let next =
+            let decoded =
                 self.connection.as_mut().map(|connection| connection.decoder.next_message::<FromService>());
-            match next {
+            match decoded {
                 Some(Ok(Some(message))) => self.handle(Input::Received(message)),
                 Some(Err(error)) => return self.connection_lost(&error.to_string()),
                 _ => return,
@@ -110,22 +111,23 @@
 
     fn connection_lost(&mut self, cause: &str) {
         if self.connection.take().is_some() {
-            tracing::warn!(cause, "control: the connection is lost; what is in force stays");
+            tracing::warn!(cause, "control: connection lost; the version in force is kept");
         }
         self.handle(Input::Disconnected);
     }
 
-    /// Passes an input to the state machine and carries out its outputs, and their results in turn, until none are left.
+    /// Passes an input to the state machine and carries out its outputs. Their results are passed on as further inputs,
+    /// until none remain.
     fn handle(&mut self, input: Input) {
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
-            for output in self.subscriber.handle(self.now(), input) {
+            for output in self.subscriber.handle(self.now_millis(), input) {
                 inputs.extend(self.carry_out(output));
             }
         }
     }
 
-    /// Carries out an output of the state machine, and returns its result, if it has one.
+    /// Carries out an output of the state machine and returns its result, if it has one, as the next input.
     fn carry_out(&mut self, output: Output) -> Option<Input> {
         match output {
             Output::Connect { address } => return Some(self.connect(address)),
@@ -157,7 +159,7 @@
             }
             Err(error) => {
                 let cause = error.to_string();
-                tracing::debug!(cause, "control: no connection");
+                tracing::debug!(cause, "control: failed to connect to a control service");
                 Input::Disconnected
             }
         }
@@ -199,29 +201,29 @@
     }
 }
 
-/// The parts and settings of a follower of control services.
+/// Dependencies and settings of a follower of control services.
 pub(in crate::net) struct VersionFollowerConfig {
-    /// Where versions come into force.
+    /// The layered configuration in which versions are staged and committed.
     pub config: Arc<LayeredConfig>,
-    /// Counts requests, by which the services judge a version.
+    /// Source of the request counts by which control services judge a version during a rollout.
     pub admission: Arc<Admission>,
-    /// Counts versions.
+    /// Counters of versions in force, rejected and skipped.
     pub metrics: Arc<Metrics>,
-    /// What the operators' file states of the services.
+    /// Addresses, credentials and limits for the control services, from the operators' file.
     pub control: Control,
-    /// The gateway's clock.
+    /// Monotonic clock of the gateway.
     pub clock: Clock,
-    /// The gateway's name.
+    /// Name of the gateway, as reported to control services.
     pub node: String,
-    /// Distinguishes the runs of the gateway, and gateways of one process.
+    /// Identifies this run of the gateway, also among gateways in one process.
     pub instance: u64,
-    /// Spreads the connections of a fleet.
+    /// Seed of the random delays that spread the connections of a fleet over time.
     pub seed: u64,
-    /// The stored version that is in force already.
+    /// The stored version that is already in force, if any.
     pub in_force: Option<Arc<Version>>,
 }
 
-/// Follows the control services on a thread of its own, until `stopping` is set. `running` is dropped then.
+/// Starts a thread that follows the control services until `stopping` is set, and drops `running` when it ends.
 ///
 /// # Errors
 ///
@@ -245,7 +247,7 @@
     let spawned = thread.spawn(move || {
         let _running = running;
         let subscriber =
-            Subscriber::new(settings, in_force, seed ^ SEED_SALT, clock.now() / MICROS_PER_MILLISECOND);
+            Subscriber::new(settings, in_force, seed ^ SEED_SALT, clock.now() / MICROS_PER_MILLI);
         let mut follower = Follower {
             config: &config,
             admission: &admission,
--- a/src/net/configuration/control/connection.rs
+++ b/src/net/configuration/control/connection.rs
@@ -1,4 +1,4 @@
-//! Connections to control services, over TLS with certificates on both sides.
+//! Connections to control services over mutual TLS.
 
 use crate::net::frontend::tls::{FileError, bytes_of, provider};
 use rustls::pki_types::pem::{self, PemObject};
@@ -12,28 +12,30 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// How long a read waits for bytes.
+/// How long a read blocks when no bytes are available.
 pub(super) const READ_TIMEOUT: Duration = Duration::from_millis(20);
-/// How long a write waits for the other side.
+/// How long a write blocks when the control service does not read.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// An encrypted connection to a control service.
+/// A TLS connection to a control service.
 pub(super) type Stream = StreamOwned<ClientConnection, TcpStream>;
 
-/// Why there is no connection to a control service.
+/// Why a connection to a control service could not be established.
 #[derive(Debug, Error)]
 pub(super) enum ConnectError {
-    #[error("no such address")]
-    UnknownAddress,
+    /// The operators' file lists fewer addresses.
+    #[error("expected the index of a control service address in the operators' file, got {0}")]
+    UnknownAddress(usize),
     /// A file of certificates or keys can't be read.
     #[error(transparent)]
     File(#[from] FileError),
     /// A file of certificates or keys is not PEM.
     #[error(transparent)]
     Pem(#[from] pem::Error),
+    /// The server name in the operators' file is not a valid DNS name.
     #[error(transparent)]
     ServerName(#[from] InvalidDnsNameError),
-    /// The certificates can't be used, or the handshake can't begin.
+    /// The certificates are not valid, or the handshake can't be started.
     #[error(transparent)]
     Tls(#[from] rustls::Error),
     /// The socket or the handshake failed.
@@ -41,10 +43,10 @@
     Io(#[from] io::Error),
 }
 
-/// Connects to the service at the index `address` of the file's list. Blocks until the handshake is done.
-pub(super) fn connect(control: &Control, address: usize) -> Result<Stream, ConnectError> {
+/// Connects to the service whose address has this index in the operators' file. Blocks until the TLS handshake is complete.
+pub(super) fn connect(control: &Control, address_index: usize) -> Result<Stream, ConnectError> {
     let ServiceAddress { address, server_name } =
-        control.addresses.get(address).ok_or(ConnectError::UnknownAddress)?;
+        control.addresses.get(address_index).ok_or(ConnectError::UnknownAddress(address_index))?;
     let timeout = Duration::from_millis(CONNECT_TIMEOUT);
     let mut socket = TcpStream::connect_timeout(address, timeout)?;
     socket.set_nodelay(true)?;
@@ -59,7 +61,8 @@
     Ok(StreamOwned::new(connection, socket))
 }
 
-/// Reads the files of TLS, anew for each connection: certificates change in service.
+/// Builds the TLS configuration from its files. They are read for each connection, because certificates are renewed while
+/// the gateway runs.
 fn tls_config(control: &Control) -> Result<Arc<ClientConfig>, ConnectError> {
     let mut roots = RootCertStore::empty();
     for root in CertificateDer::pem_slice_iter(&bytes_of(&control.roots)?) {
--- a/src/net/configuration/control/notices.rs
+++ b/src/net/configuration/control/notices.rs
@@ -1,16 +1,17 @@
-//! What operators are told of streamed versions: log lines and counters.
+//! Notifies operators of the state of streamed versions through log lines and counters.
 
 use crate::metrics::Metrics;
 use sagearch_stream::subscriber::Notice;
 use std::time::Instant;
 
-/// Logs and counts a notice for operators. `assembled_at` is when the version that is being applied was complete.
+/// Logs and counts a notice of the subscriber. `assembled_at` is when the version that is being applied had been received
+/// completely.
 pub(super) fn report(notice: Notice, metrics: &Metrics, assembled_at: Instant) {
     match notice {
         Notice::InForce(id) => {
-            let took = assembled_at.elapsed();
-            metrics.version("in_force", Some(took));
-            tracing::info!(version = %id, ms = took.as_millis() as u64, "control: in force");
+            let apply_duration = assembled_at.elapsed();
+            metrics.version("in_force", Some(apply_duration));
+            tracing::info!(version = %id, ms = apply_duration.as_millis() as u64, "control: in force");
         }
         Notice::Rejected(id, reason) => {
             metrics.version("turned_down", None);
@@ -18,7 +19,7 @@
         }
         Notice::Skipped(id) => {
             metrics.version("skipped", None);
-            tracing::info!(version = %id, "control: skipped for a newer one");
+            tracing::info!(version = %id, "control: version skipped in favor of a newer one");
         }
         Notice::Conflict { current, offered } => {
             tracing::error!(held = %current, %offered, "control: two services disagree about a version");
