--- a/src/net/configuration/control.rs
+++ b/src/net/configuration/control.rs
@@ -1,8 +1,8 @@
 //! Receives versions of the configuration from control services. Provides connections, storage and time to the state
 //! machine in [`sagearch_stream::subscriber`].
 //!
-//! Runs on a dedicated thread, which may block on disk and network I/O. Requests see a version only once its snapshot is
-//! in force.
+//! Runs on a dedicated thread, which may block on disk and network I/O. Requests see a version only once its snapshot
+//! is in force.
 //!
 //! - `connection`: opens TLS connections to control services;
 //! - `notices`: logs and counts the events that operators are notified of;
--- a/src/net/configuration/control/connection.rs
+++ b/src/net/configuration/control/connection.rs
@@ -43,7 +43,8 @@
     Io(#[from] io::Error),
 }
 
-/// Connects to the service whose address has this index in the operators' file. Blocks until the TLS handshake is complete.
+/// Connects to the service whose address has this index in the operators' file. Blocks until the TLS handshake is
+/// complete.
 pub(super) fn connect(control: &Control, address_index: usize) -> Result<Stream, ConnectError> {
     let ServiceAddress { address, server_name } =
         control.addresses.get(address_index).ok_or(ConnectError::UnknownAddress(address_index))?;
@@ -61,8 +62,8 @@
     Ok(StreamOwned::new(connection, socket))
 }
 
-/// Builds the TLS configuration from its files. They are read for each connection, because certificates are renewed while
-/// the gateway runs.
+/// Builds the TLS configuration from its files. They are read for each connection, because certificates are renewed
+/// while the gateway runs.
 fn tls_config(control: &Control) -> Result<Arc<ClientConfig>, ConnectError> {
     let mut roots = RootCertStore::empty();
     for root in CertificateDer::pem_slice_iter(&bytes_of(&control.roots)?) {
--- a/src/net/configuration/control/notices.rs
+++ b/src/net/configuration/control/notices.rs
@@ -4,8 +4,8 @@
 use sagearch_stream::subscriber::Notice;
 use std::time::Instant;
 
-/// Logs and counts a notice of the subscriber. `assembled_at` is when the version that is being applied had been received
-/// completely.
+/// Logs and counts a notice of the subscriber. `assembled_at` is when the version that is being applied had been
+/// received completely.
 pub(super) fn report(notice: Notice, metrics: &Metrics, assembled_at: Instant) {
     match notice {
         Notice::InForce(id) => {
--- a/src/net/configuration/control/stored_versions.rs
+++ b/src/net/configuration/control/stored_versions.rs
@@ -43,8 +43,8 @@
     None
 }
 
-/// Stores a version if a data folder is configured. `instance` identifies this process among those that store in the same
-/// folder.
+/// Stores a version if a data folder is configured. `instance` identifies this process among those that store in the
+/// same folder.
 pub(super) fn store(control: &Control, version: &Version, instance: u64) -> io::Result<()> {
     match &control.data {
         Some(data) => store::store_version(&version_folder(data), version, control.keep, instance as u32),
--- a/src/net/configuration/layered_config.rs
+++ b/src/net/configuration/layered_config.rs
@@ -1,7 +1,8 @@
-//! The layered configuration: the operators' file of this gateway, overlaid by the version that a control service streams.
+//! The layered configuration: the operators' file of this gateway, overlaid by the version that a control service
+//! streams.
 //!
-//! A streamed version overrides the file's identity, routes, limits and key sets. Addresses, TLS and the roots of client
-//! certificates always come from the file. Changes are atomic and replace one layer at a time.
+//! A streamed version overrides the file's identity, routes, limits and key sets. Addresses, TLS and the roots of
+//! client certificates always come from the file. Changes are atomic and replace one layer at a time.
 
 use crate::net::configuration::identity::{Guard, StagedSnapshot, VersionConfig, VersionError};
 use crate::net::lock;
@@ -95,8 +96,8 @@
         LayeredConfig { guard, state: Mutex::default() }
     }
 
-    /// Applies the operators' file at startup. An invalid file does not prevent startup, but all requests are rejected until
-    /// it is valid.
+    /// Applies the operators' file at startup. An invalid file does not prevent startup, but all requests are rejected
+    /// until it is valid.
     pub fn start(&self, operators: &Result<Operators, impl Display>) {
         let mut state = lock(&self.state);
         state.file = operators.as_ref().ok().cloned().unwrap_or_default();
@@ -144,8 +145,8 @@
         drop(previous);
     }
 
-    /// Puts a changed operators' file and the settings of the deployment in force. `before_commit` is called once no step can
-    /// fail any more.
+    /// Puts a changed operators' file and the settings of the deployment in force. `before_commit` is called once no
+    /// step can fail any more.
     ///
     /// # Errors
     ///
