--- a/src/net/configuration/identity/error.rs
+++ b/src/net/configuration/identity/error.rs
@@ -1,4 +1,4 @@
-//! Why a version, or a part of it, can't be used.
+//! Errors of staging a version and of loading a key set.
 
 use crate::net::frontend::tls::{FileError, TlsError};
 use std::error::Error as StdError;
@@ -6,61 +6,61 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// A fault found by a parser or a policy.
+/// An error of a parser or of a policy check.
 pub(super) type Cause = Box<dyn StdError + Send + Sync>;
 
-/// Why a version can't be brought into force.
+/// Why a version can't be put in force.
 #[derive(Debug, Error)]
 pub enum VersionError {
-    /// The files of roots and revocation lists can't be used.
+    /// The files of roots and revocation lists are not valid.
     #[error(transparent)]
     Trust(TlsError),
-    /// The certificates and keys of an address can't be used.
+    /// The certificates and keys of an address are not valid.
     #[error(transparent)]
     Tls(TlsError),
-    /// A key set can't be read.
+    /// A key set can't be read or is not valid.
     #[error(transparent)]
     KeySet(#[from] KeySetError),
-    /// An issuer names a key set that the version does not have.
+    /// An issuer refers to a key set that the version does not contain.
     #[error("there is no key set {0:?}")]
     MissingKeySet(String),
-    /// What is stated of identity can't be used.
+    /// The identity settings are not valid.
     #[error(transparent)]
     Policy(Cause),
-    /// A key set does not fit the keys that are in force.
+    /// A key set conflicts with the keys in force.
     #[error("issuer {issuer}: {source}")]
     KeysRejected {
-        /// The issuer's name.
+        /// Name of the issuer.
         issuer: String,
-        /// What is wrong with its keys.
+        /// Why the issuer's keys were rejected.
         source: Cause,
     },
 }
 
-/// Why there is no key set.
+/// Why a key set can't be loaded.
 #[derive(Debug, Error)]
 pub enum KeySetError {
-    /// A file can't be read.
+    /// The file of a key set or of an issuer's roots can't be read.
     #[error(transparent)]
     File(#[from] FileError),
-    /// A file's key set has a fault.
+    /// The key set in a file is not valid.
     #[error("{}: {source}", path.display())]
     InvalidFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The fault.
+        /// The error of the key set parser.
         source: Cause,
     },
-    /// A key set that came with a version, or from an issuer, has a fault.
+    /// A key set contained in a version, or fetched from an issuer, is not valid.
     #[error(transparent)]
     Invalid(Cause),
-    /// The roots by which an issuer is recognized are not PEM.
+    /// The file of roots for an issuer's certificate is not PEM.
     #[error(transparent)]
     Roots(Box<ureq::Error>),
-    /// The issuer has not answered with a key set.
+    /// The request for the issuer's key set failed.
     #[error(transparent)]
     Fetch(Box<ureq::Error>),
-    /// No thread could be started that asks the issuer.
+    /// The thread that requests the issuer's key set could not be started.
     #[error(transparent)]
     Thread(io::Error),
 }
--- a/src/net/configuration/identity/version_config.rs
+++ b/src/net/configuration/identity/version_config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a version: identity, TLS, routes, limits, and the files that it names.
+//! The configuration of a version: identity, TLS, routes, limits and the paths of the files that it refers to.
 
 use super::error::{KeySetError, VersionError};
 use crate::net::frontend::tls::{Endpoints, TrustParts, bytes_of};
@@ -14,37 +14,37 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// The name of the version that is the operators' file alone.
+/// Name of the version that consists of the operators' file only.
 const FILE_VERSION: &str = "file";
 
-/// An issuer's file of keys.
+/// The file that holds an issuer's key set.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct KeyFile {
     pub(super) issuer: String,
     pub(super) path: PathBuf,
 }
 
-/// The configuration of a version, whether that is in force or not yet.
+/// The configuration of a version, which may be in force or not.
 #[derive(Clone, PartialEq)]
 pub struct VersionConfig {
-    /// The version's name.
+    /// Name of the version.
     pub version: Arc<str>,
-    /// How callers are identified; `None`: they are not.
+    /// How callers are identified, or `None` if they are not.
     pub identity: Option<Identity>,
-    /// Which addresses speak TLS; `None`: none does.
+    /// Certificates and keys of the addresses that accept TLS, or `None` if no address does.
     pub tls: Option<Tls>,
-    /// `None`: the routes in force stay.
+    /// Routes to upstreams, or `None` to keep the routes in force.
     pub routes: Option<Routes>,
-    /// Limits of requests; `None`: there are none.
+    /// Limits on requests, or `None` for no limits.
     pub limits: Option<Limits>,
-    /// Sets of keys that come with the version, by name.
+    /// Key sets (JWKS texts) contained in the version, by name.
     pub key_sets: BTreeMap<String, String>,
-    /// Whether answers name the version.
+    /// Whether responses name the version.
     pub shows_version: bool,
 }
 
 impl VersionConfig {
-    /// The configuration of a file on this machine.
+    /// Returns the configuration of an operators' file.
     pub fn from_operators(operators: &Operators) -> VersionConfig {
         VersionConfig {
             version: FILE_VERSION.into(),
@@ -64,7 +64,7 @@
         Ok(parts.map_err(VersionError::Trust)?.unwrap_or_default())
     }
 
-    /// Reads the certificates and keys of the addresses that speak TLS.
+    /// Reads the certificates and keys of the addresses that accept TLS.
     pub(super) fn read_endpoints(
         &self,
         parts: &TrustParts,
@@ -74,22 +74,22 @@
         Ok(endpoints.map_err(VersionError::Tls)?.unwrap_or_default())
     }
 
-    /// Whether there are files to watch or issuers to ask.
+    /// Returns whether there are files to watch or issuers to query.
     pub(super) fn needs_upkeep(&self) -> bool {
         self.identity.is_some() || self.tls.is_some()
     }
 
-    /// The files of key sets.
+    /// Returns the files of issuers' key sets.
     pub(super) fn key_files(&self) -> Vec<KeyFile> {
         let issuers = self.identity.iter().flat_map(|identity| &identity.settings.issuers);
-        let file = |issuer: &Issuer| match &issuer.source {
+        let key_file = |issuer: &Issuer| match &issuer.source {
             Source::File(path) => Some(KeyFile { issuer: issuer.name.clone(), path: path.into() }),
             Source::Url { .. } | Source::Set(_) => None,
         };
-        issuers.filter_map(file).collect()
+        issuers.filter_map(key_file).collect()
     }
 
-    /// The files of certificates, keys, roots and revocation lists, which are read together.
+    /// Returns the files of certificates, keys, roots and revocation lists, which are always read together.
     pub(super) fn tls_files(&self) -> Vec<PathBuf> {
         let mut files = Vec::new();
         if let Some(identity) = &self.identity {
