--- a/src/net/configuration/identity.rs
+++ b/src/net/configuration/identity.rs
@@ -1,11 +1,12 @@
-//! The version in force and who may use it.
+//! The version in force and the admission of callers.
 //!
-//! - `version`: holds and swaps the version; `version_config`: the configuration of one;
-//! - `key_sets`: keeps its keys and certificates up to date;
+//! - `version`: holds the version in force and replaces it atomically;
+//! - `version_config`: the configuration of a version;
+//! - `key_sets`: keeps key sets and certificates up to date;
 //! - `admission`: identifies callers and checks their rights;
-//! - `error`: why a version can't be used.
+//! - `error`: errors of staging a version or loading a key set.
 //!
-//! Where the operators' file states nothing of identity or TLS, no thread is started and `Admission::admit` only reads a
+//! If the operators' file configures neither identity nor TLS, no thread is started and `Admission::admit` only reads a
 //! flag.
 
 mod admission;
@@ -15,7 +16,7 @@
 mod version_config;
 
 pub use error::{KeySetError, VersionError};
-pub use key_sets::fetch;
+pub use key_sets::fetch_key_set;
 pub use version::StagedSnapshot;
 pub use version_config::VersionConfig;
 
@@ -34,7 +35,7 @@
 pub struct Guard {
     /// The version in force.
     pub(in crate::net) version: Arc<ActiveVersion>,
-    /// Who may call.
+    /// Identifies callers and checks their rights.
     pub(in crate::net) admission: Arc<Admission>,
     upkeep: Arc<KeySetUpkeep>,
     /// Counters of this gateway.
@@ -42,7 +43,7 @@
 }
 
 impl Guard {
-    /// Starts with `deployment` in force and callers not identified.
+    /// Creates a guard with `deployment` in force, which does not identify callers yet.
     pub fn new(clock: Clock, seed: u64, deployment: Deployment) -> Arc<Guard> {
         let version = ActiveVersion::new(clock, seed, deployment);
         let metrics = Arc::new(Metrics::default());
@@ -51,8 +52,8 @@
         Arc::new(Guard { version, admission, upkeep, metrics })
     }
 
-    /// Applies the operators' file of the start. One that can't be used does not stop the start: nobody is served until it
-    /// can be, or until another one is applied.
+    /// Applies the operators' file at startup. An invalid file does not prevent startup, but all requests are rejected
+    /// until it is valid or another one is applied.
     pub fn start(&self, operators: &Result<Operators, impl Display>) {
         let config = match operators {
             Ok(operators) => VersionConfig::from_operators(operators),
@@ -62,23 +63,23 @@
             Ok(staged) => self.commit(staged),
             Err(error) => {
                 self.version.seal(&error.to_string());
-                // Its files may be complete and valid later.
+                // The files that it names may become valid later, so the upkeep stages it again.
                 self.version.set_config(config);
                 self.upkeep.start();
             }
         }
     }
 
-    /// Brings a version into force, as a whole, and starts the upkeep of its files and issuers.
+    /// Puts a staged version in force atomically, and starts the upkeep of its files and issuers' key sets.
     pub fn commit(&self, staged: StagedSnapshot<'_>) {
-        let has_upkeep = staged.config.needs_upkeep();
+        let needs_upkeep = staged.config.needs_upkeep();
         self.version.commit(staged);
-        if has_upkeep {
+        if needs_upkeep {
             self.upkeep.start();
         }
     }
 
-    /// Stops the upkeep: files are not watched any more, nor issuers asked.
+    /// Stops the upkeep: files are no longer watched and issuers no longer queried.
     pub(in crate::net) fn stop(&self) {
         self.upkeep.stop();
     }
--- a/src/net/configuration/identity/admission.rs
+++ b/src/net/configuration/identity/admission.rs
@@ -1,5 +1,5 @@
-//! The admission of callers: identifies who sends a request, a look-up or an operator's call, and checks the caller's
-//! rights. The decisions themselves are [`sagearch_identity`]'s.
+//! Admission of callers: identifies the sender of a request, a DNS look-up or an operator's call, and checks the
+//! caller's rights. The decisions are made by [`sagearch_identity`].
 
 use super::version::ActiveVersion;
 use crate::metrics::Metrics;
@@ -14,28 +14,29 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Rejections for one reason are logged once in this time; the counters have them all.
+/// At most one rejection per reason is logged in this interval; the metrics count all of them.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A certificate expires soon within this part of its lifetime, and within this time at most.
+/// A certificate expires soon in the last tenth of its lifetime.
 const EXPIRY_WARNING_DIVISOR: u64 = 10;
-const MAX_EXPIRY_WARNING_MS: u64 = 5_000;
+/// Upper limit of the time before expiry in which a certificate expires soon.
+const MAX_EXPIRY_WARNING_MILLIS: u64 = 5_000;
 
-/// The method of a resolver's look-up, by which rights may name it.
+/// Method by which rights refer to a resolver's look-up.
 const LOOKUP_METHOD: &str = "LOOKUP";
 
-/// What a caller wants to use.
+/// The access that a caller requests.
 #[derive(Clone, Copy)]
-struct Access<'a> {
+struct RequestedAccess<'a> {
     class: &'a str,
     method: &'a str,
     object: &'a str,
 }
 
-/// Rejections for one reason since the last one that was logged.
+/// The last logged rejection for one reason, and the number of rejections since.
 struct RejectionLog {
     logged_at: Instant,
-    /// With the one that was logged; 0: none has been.
+    /// Rejections including the logged one; 0 if none has been logged.
     count: u64,
 }
 
@@ -43,9 +44,10 @@
 pub(in crate::net) struct Admission {
     version: Arc<ActiveVersion>,
     metrics: Arc<Metrics>,
-    logged: Mutex<HashMap<Reason, RejectionLog>>,
-    /// Requests that were answered, and those of them that failed.
+    rejection_logs: Mutex<HashMap<Reason, RejectionLog>>,
+    /// Number of answered requests.
     requests: AtomicU64,
+    /// Number of answered requests that failed.
     failed: AtomicU64,
 }
 
@@ -54,13 +56,14 @@
         Admission {
             version,
             metrics,
-            logged: Mutex::default(),
+            rejection_logs: Mutex::default(),
             requests: AtomicU64::new(0),
             failed: AtomicU64::new(0),
         }
     }
 
-    /// Identifies a request's caller and checks the caller's rights. Returns the version that decided as well.
+    /// Identifies the caller of a request and checks the caller's rights. Also returns the snapshot under which the
+    /// decision was made.
     pub fn admit(
         &self,
         credentials: Credentials,
@@ -68,7 +71,7 @@
         method: &str,
         object: &str,
     ) -> (Arc<Snapshot>, Result<Arc<Caller>, Reason>) {
-        if !self.version.is_on() {
+        if !self.version.requires_admission() {
             return (self.version.snapshot(), Ok(Caller::anonymous()));
         }
         let began = Instant::now();
@@ -82,42 +85,42 @@
             };
             (state.snapshot.clone(), identified)
         };
-        (snapshot, self.decide(identified, began, Access { class, method, object }))
+        (snapshot, self.decide(identified, began, RequestedAccess { class, method, object }))
     }
 
-    /// Identifies the caller of a resolver's look-up by its network, and checks the caller's rights.
-    pub fn admit_network(&self, from: IpAddr, class: &str, object: &str) -> Result<Arc<Caller>, Reason> {
-        if !self.version.is_on() {
+    /// Identifies the caller of a resolver's look-up by network address and checks the caller's rights.
+    pub fn admit_network(&self, address: IpAddr, class: &str, object: &str) -> Result<Arc<Caller>, Reason> {
+        if !self.version.requires_admission() {
             return Ok(Caller::anonymous());
         }
         let began = Instant::now();
-        let identified = self.network(from);
-        self.decide(identified, began, Access { class, method: LOOKUP_METHOD, object })
+        let identified = self.identify_network(address);
+        self.decide(identified, began, RequestedAccess { class, method: LOOKUP_METHOD, object })
     }
 
-    fn network(&self, from: IpAddr) -> Result<Arc<Caller>, Reason> {
+    fn identify_network(&self, address: IpAddr) -> Result<Arc<Caller>, Reason> {
         match self.version.state().authority()? {
-            Some(authority) => authority.identify_network(from),
+            Some(authority) => authority.identify_network(address),
             None => Ok(Caller::anonymous()),
         }
     }
 
-    /// Whether a resolver's network belongs to a tenant.
-    pub fn knows_network(&self, from: IpAddr) -> bool {
-        self.network(from).is_ok()
+    /// Returns whether the network of a resolver's address belongs to a tenant.
+    pub fn knows_network(&self, address: IpAddr) -> bool {
+        self.identify_network(address).is_ok()
     }
 
     fn decide(
         &self,
         identified: Result<Arc<Caller>, Reason>,
         began: Instant,
-        Access { class, method, object }: Access<'_>,
+        RequestedAccess { class, method, object }: RequestedAccess<'_>,
     ) -> Result<Arc<Caller>, Reason> {
         let check_rights = |caller: Arc<Caller>| {
             if caller.may(class, method, object) {
                 return Ok(caller);
             }
-            tracing::debug!(tenant = %caller.tenant, class, method, "no right");
+            tracing::debug!(tenant = %caller.tenant, class, method, "caller lacks the required right");
             Err(Reason::RightMissing)
         };
         let decision = identified.and_then(check_rights);
@@ -128,28 +131,29 @@
         decision
     }
 
-    /// Logs a rejection, unless one for the same reason was logged just now.
+    /// Logs a rejection, unless one for the same reason was logged within [`LOG_INTERVAL`].
     fn log_rejection(&self, reason: Reason) {
-        let mut logged = lock(&self.logged);
-        let log =
-            logged.entry(reason).or_insert_with(|| RejectionLog { logged_at: Instant::now(), count: 0 });
+        let mut rejection_logs = lock(&self.rejection_logs);
+        let log = rejection_logs
+            .entry(reason)
+            .or_insert_with(|| RejectionLog { logged_at: Instant::now(), count: 0 });
         if log.logged_at.elapsed() < LOG_INTERVAL && log.count > 0 {
             log.count += 1;
             return;
         }
-        let before = log.count.saturating_sub(1);
+        let not_logged_before = log.count.saturating_sub(1);
         *log = RejectionLog { logged_at: Instant::now(), count: 1 };
-        drop(logged);
-        tracing::info!(reason = reason.label(), not_logged_before = before, "refused for who called");
+        drop(rejection_logs);
+        tracing::info!(reason = reason.label(), not_logged_before, "refused for who called");
     }
 
-    /// Counts an answer; a control service judges a version by these counts.
+    /// Counts an answered request. A control service judges a version by these counts.
     pub fn count(&self, failed: bool) {
         self.requests.fetch_add(1, Ordering::Relaxed);
         self.failed.fetch_add(u64::from(failed), Ordering::Relaxed);
     }
 
-    /// How many requests were answered, and how many of them failed.
+    /// Returns the number of answered requests, and of those that failed.
     pub fn counts(&self) -> RequestCounts {
         RequestCounts {
             requests: self.requests.load(Ordering::Relaxed),
@@ -157,7 +161,7 @@
         }
     }
 
-    /// Whether a connection's certificate still identifies its caller.
+    /// Returns whether a connection's certificate still identifies its caller.
     pub fn is_certificate_valid(&self, presented: &Presented) -> bool {
         let now = self.version.now();
         match self.version.state().authority() {
@@ -167,16 +171,16 @@
         }
     }
 
-    /// Whether a certificate expires so soon that its connection should be replaced: within a tenth of its lifetime, 5 s
-    /// at most.
+    /// Returns whether a certificate expires so soon that its connection should be replaced: in the last tenth of its
+    /// lifetime, limited to 5 s.
     pub fn expires_soon(&self, presented: &Presented) -> bool {
         let lifetime = presented.not_after.saturating_sub(presented.not_before);
-        self.version.now().unix + (lifetime / EXPIRY_WARNING_DIVISOR).min(MAX_EXPIRY_WARNING_MS)
+        self.version.now().unix + (lifetime / EXPIRY_WARNING_DIVISOR).min(MAX_EXPIRY_WARNING_MILLIS)
             >= presented.not_after
     }
 
-    /// The operator who calls; `None`: operators are not identified.
-    pub fn operator(&self, credentials: Credentials) -> Result<Option<OperatorCaller>, Reason> {
+    /// Identifies the operator who calls. Returns `None` if operators are not identified.
+    pub fn identify_operator(&self, credentials: Credentials) -> Result<Option<OperatorCaller>, Reason> {
         let now = self.version.now();
         match self.version.state().authority()? {
             Some(authority) if authority.has_operators() => {
@@ -186,7 +190,7 @@
         }
     }
 
-    /// All counters, as OpenMetrics text.
+    /// Returns all metrics as OpenMetrics text.
     pub fn metrics_text(&self) -> String {
         if let Some(report) = self.version.report() {
             self.metrics.identity(&report, self.version.now().unix);
--- a/src/net/configuration/identity/key_sets.rs
+++ b/src/net/configuration/identity/key_sets.rs
@@ -1,5 +1,5 @@
-//! Keeps key sets up to date: on threads of their own, changed files are read again and issuers are asked, and keys and
-//! tokens that have expired are removed. Requests are only held up by short locks.
+//! Keeps key sets up to date on background threads: reloads changed files, fetches key sets from issuers, and removes
+//! expired keys and tokens. Requests are blocked only by short locks.
 
 use super::error::{KeySetError, VersionError};
 use super::version::ActiveVersion;
@@ -18,18 +18,18 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// How often files are checked for changes, and issuers that are due are asked.
+/// How often files are checked for changes and due key sets are fetched.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// How often keys and tokens that expire by time alone are removed.
+/// How often expired keys and tokens are removed.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
-/// How often a version that could not be brought into force is tried again.
+/// How often a version that could not be put in force is staged again.
 const STAGE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// How long an issuer's complete answer may take.
+/// Timeout for an issuer's complete response.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The stack of the thread that watches files.
+/// Stack size of the thread that watches files.
 const STACK_BYTES: usize = 512 * 1024;
-/// The stack of a thread that asks an issuer, over TLS.
+/// Stack size of a thread that fetches a key set over TLS.
 const ISSUER_STACK_BYTES: usize = 1024 * 1024;
 
 /// Keeps the key sets, certificates and revocation lists of the version in force up to date.
@@ -37,7 +37,7 @@
     version: Arc<ActiveVersion>,
     metrics: Arc<Metrics>,
     started: AtomicBool,
-    /// The thread that watches files and asks issuers is to end.
+    /// Set to make the upkeep thread end.
     stopping: AtomicBool,
 }
 
@@ -47,12 +47,12 @@
         Arc::new(KeySetUpkeep { version, metrics, started, stopping })
     }
 
-    /// Stops watching files and asking issuers.
+    /// Makes the upkeep thread end: files are no longer watched and issuers no longer queried.
     pub(super) fn stop(&self) {
         self.stopping.store(true, Ordering::SeqCst);
     }
 
-    /// Starts the thread that watches files and asks issuers, once.
+    /// Starts the upkeep thread, which watches files and queries issuers, unless it has been started already.
     pub(super) fn start(self: &Arc<KeySetUpkeep>) {
         if self.started.swap(true, Ordering::SeqCst) {
             return;
@@ -60,7 +60,7 @@
         let upkeep = self.clone();
         let thread = std::thread::Builder::new().name("identity".into()).stack_size(STACK_BYTES);
         if let Err(e) = thread.spawn(move || upkeep.run()) {
-            tracing::error!(cause = %e, "identity: files are not watched and issuers not asked");
+            tracing::error!(cause = %e, "identity: upkeep thread failed to start; files and issuers are not polled");
             self.started.store(false, Ordering::SeqCst);
         }
     }
@@ -70,7 +70,7 @@
         let (mut last_expiry, mut last_retry) = (Instant::now(), Instant::now());
         while !self.stopping.load(Ordering::SeqCst) {
             std::thread::sleep(POLL_INTERVAL);
-            if self.version.sealed() && last_retry.elapsed() >= STAGE_RETRY_INTERVAL {
+            if self.version.is_sealed() && last_retry.elapsed() >= STAGE_RETRY_INTERVAL {
                 last_retry = Instant::now();
                 self.retry_stage();
             }
@@ -78,18 +78,18 @@
             self.fetch_due_key_sets();
             if last_expiry.elapsed() >= EXPIRY_INTERVAL {
                 last_expiry = Instant::now();
-                // A report removes what has expired, also where no request comes.
+                // Creating a report removes expired keys and tokens, even if no requests arrive.
                 let _ = self.version.report();
             }
         }
     }
 
-    /// Stages the newest configuration again, which could not be brought into force before.
+    /// Stages the newest configuration again after it could not be put in force.
     fn retry_stage(self: &Arc<KeySetUpkeep>) {
         let config = self.version.config();
         if let Ok(staged) = self.version.stage(config, None) {
             self.version.commit(staged);
-            tracing::info!("the operators' file can be used now: clients are served");
+            tracing::info!("identity: the operators' file is valid now; clients are served");
         }
     }
 
@@ -97,18 +97,18 @@
     fn fetch_due_key_sets(self: &Arc<KeySetUpkeep>) {
         let now = self.version.now();
         let due = self.version.state().authority.as_mut().map(|authority| authority.start_due_requests(now));
-        for ask in due.into_iter().flatten() {
-            let (upkeep, issuer) = (self.clone(), ask.issuer.clone());
+        for request in due.into_iter().flatten() {
+            let (upkeep, issuer) = (self.clone(), request.issuer.clone());
             let thread = std::thread::Builder::new().name("issuer".into()).stack_size(ISSUER_STACK_BYTES);
-            // The authority has at most one request out to an issuer.
-            let spawned = thread.spawn(move || upkeep.install_keys(&ask.issuer, fetch(&ask)));
+            // The authority allows at most one outstanding request per issuer, which limits the number of threads.
+            let spawned = thread.spawn(move || upkeep.install_keys(&request.issuer, fetch_key_set(&request)));
             if let Err(e) = spawned {
                 self.install_keys(&issuer, Err(KeySetError::Thread(e)));
             }
         }
     }
 
-    /// Passes a key set, or why there is none, to the authority.
+    /// Installs a loaded key set in the authority, or records that loading it failed.
     fn install_keys(&self, issuer: &str, set: Result<KeySet, KeySetError>) {
         let now = self.version.now();
         let installed = self.version.state().authority.as_mut().map(|authority| match set {
@@ -123,7 +123,7 @@
         let Some(installed) = installed else { return };
         self.metrics.reloaded(installed.is_ok());
         match installed {
-            Ok(()) => tracing::debug!(issuer, "keys taken in"),
+            Ok(()) => tracing::debug!(issuer, "key set installed"),
             Err(error) => {
                 let cause = error.to_string();
                 tracing::warn!(issuer, cause, "keys turned down; the last good ones hold for now");
@@ -131,20 +131,20 @@
         }
     }
 
-    /// Reads the files of TLS again: certificates, keys, roots or revocation lists have changed.
+    /// Reloads certificates, keys, roots and revocation lists after one of their files has changed.
     fn reload_tls(self: &Arc<KeySetUpkeep>) {
         let _applying = self.version.lock_applying();
-        let read = self.read_tls();
-        self.metrics.reloaded(read.is_ok());
-        match read {
+        let loaded = self.read_tls();
+        self.metrics.reloaded(loaded.is_ok());
+        match loaded {
             Ok((trust, endpoints)) => {
                 let state = &mut *self.version.state();
                 state.authority.iter_mut().for_each(|authority| authority.set_trust(trust.clone()));
                 let endpoints = Arc::new(endpoints);
                 state.snapshot = Arc::new(Snapshot { endpoints, ..(*state.snapshot).clone() });
-                tracing::info!("certificates, roots and revocation lists read again");
+                tracing::info!("certificates, roots and revocation lists reloaded");
             }
-            // Often only one of two files has been replaced so far. The change of the other is noticed as well.
+            // Often only one file of a pair has been replaced so far. The change of the other triggers another reload.
             Err(error) => {
                 let cause = error.to_string();
                 tracing::warn!(cause, "certificates turned down; the last good ones hold");
@@ -157,11 +157,11 @@
         let config = self.version.config();
         let parts = config.read_trust_parts()?;
         let trust = parts.trust(true).map_err(VersionError::Trust)?;
-        Ok((trust, config.read_endpoints(&parts, &self.version.time())?))
+        Ok((trust, config.read_endpoints(&parts, &self.version.tls_time_provider())?))
     }
 }
 
-/// By which a changed or replaced file is recognized.
+/// File metadata by which a modified or replaced file is detected.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct FileStamp {
     modified_seconds: i64,
@@ -171,8 +171,8 @@
 }
 
 impl FileStamp {
-    /// The stamp of a file now; `None`: it is not there.
-    fn of(path: &Path) -> Option<FileStamp> {
+    /// Returns the current stamp of a file, or `None` if its metadata can't be read.
+    fn read(path: &Path) -> Option<FileStamp> {
         let metadata = fs::metadata(path).ok()?;
         Some(FileStamp {
             modified_seconds: metadata.mtime(),
@@ -183,7 +183,7 @@
     }
 }
 
-/// The files that a version names, with their stamps when they were last read.
+/// The files that a version refers to, with their stamps when they were last read.
 #[derive(Default)]
 struct WatchedFiles {
     config: Option<VersionConfig>,
@@ -192,30 +192,30 @@
 }
 
 impl WatchedFiles {
-    /// Reads files again that have changed.
+    /// Reloads files that have changed.
     fn poll(&mut self, upkeep: &Arc<KeySetUpkeep>) {
-        if upkeep.version.sealed() {
+        if upkeep.version.is_sealed() {
             return;
         }
         let config = upkeep.version.config();
         if Some(&config) != self.config.as_ref() {
-            // The new version has read them all, but some may have changed since: each is read once more.
+            // Staging has read all files, but some may have changed since, so each is read once more.
             self.keys = config.key_files().into_iter().map(|key| (key, None)).collect();
             self.tls = config.tls_files().into_iter().map(|path| (path, None)).collect();
             self.config = Some(config);
         }
-        for (KeyFile { issuer, path }, seen) in &mut self.keys {
-            let now = FileStamp::of(path);
-            if *seen != now {
-                *seen = now;
+        for (KeyFile { issuer, path }, last_stamp) in &mut self.keys {
+            let stamp = FileStamp::read(path);
+            if *last_stamp != stamp {
+                *last_stamp = stamp;
                 upkeep.install_keys(issuer, read_key_set(path));
             }
         }
         let mut changed = false;
-        for (path, seen) in &mut self.tls {
-            let now = FileStamp::of(path);
-            changed |= *seen != now;
-            *seen = now;
+        for (path, last_stamp) in &mut self.tls {
+            let stamp = FileStamp::read(path);
+            changed |= *last_stamp != stamp;
+            *last_stamp = stamp;
         }
         if changed {
             upkeep.reload_tls();
@@ -223,30 +223,34 @@
     }
 }
 
-/// Asks an issuer for its keys, within bounds of time and size.
+/// Fetches the key set of an issuer, with limits on time and size.
 ///
 /// # Errors
 ///
-/// If its roots can't be read, or it does not answer with a valid key set.
-pub fn fetch(ask: &KeySetRequest) -> Result<KeySet, KeySetError> {
+/// If the issuer's roots can't be read, or the response is not a valid key set.
+pub fn fetch_key_set(request: &KeySetRequest) -> Result<KeySet, KeySetError> {
     let mut config = ureq::Agent::config_builder()
         .timeout_global(Some(FETCH_TIMEOUT))
         .max_redirects(0)
-        // Proxies that the environment names are ignored.
+        // Ignores proxies that are set in the environment.
         .proxy(None);
-    if let Some(roots) = &ask.roots {
+    if let Some(roots) = &request.roots {
         let roots = read_roots(Path::new(roots))?;
         config = config.tls_config(ureq::tls::TlsConfig::builder().root_certs(roots).build());
     }
     let agent = config.build().new_agent();
-    let failed = |error| KeySetError::Fetch(Box::new(error));
-    let mut answer = agent.get(&ask.url).call().map_err(failed)?;
-    let body =
-        answer.body_mut().with_config().limit(MAX_KEY_SET_BYTES as u64).read_to_vec().map_err(failed)?;
+    let fetch_error = |error| KeySetError::Fetch(Box::new(error));
+    let mut response = agent.get(&request.url).call().map_err(fetch_error)?;
+    let body = response
+        .body_mut()
+        .with_config()
+        .limit(MAX_KEY_SET_BYTES as u64)
+        .read_to_vec()
+        .map_err(fetch_error)?;
     KeySet::parse(&body).map_err(|error| KeySetError::Invalid(error.into()))
 }
 
-/// Reads the roots by which an issuer's certificate is checked.
+/// Reads the roots against which an issuer's TLS certificate is verified.
 fn read_roots(path: &Path) -> Result<ureq::tls::RootCerts, KeySetError> {
     let bytes = bytes_of(path)?;
     let mut roots = Vec::new();
--- a/src/net/configuration/identity/version.rs
+++ b/src/net/configuration/identity/version.rs
@@ -1,7 +1,7 @@
-//! The version in force: holds the snapshot, and swaps it.
+//! The version in force: holds its snapshot and replaces it atomically.
 //!
-//! A version comes in two steps. [`ActiveVersion::stage`] reads and checks all that can fail;
-//! [`ActiveVersion::commit`] swaps the snapshot and identity's policy under one lock, and can't fail. A request takes
+//! A version is applied in two steps. [`ActiveVersion::stage`] performs every read and check that can fail.
+//! [`ActiveVersion::commit`] can't fail: it replaces the snapshot and the identity policy under one lock. Requests read
 //! both under the same lock.
 
 use super::error::{KeySetError, VersionError};
@@ -24,18 +24,22 @@
 use std::sync::{Arc, Mutex, MutexGuard, Weak};
 use std::time::Duration;
 
-/// The name of the version that is in force before the first one.
+/// Name of the version in force before the first one is committed.
 const NO_VERSION: &str = "none";
 
-/// The snapshot and the authority, which are swapped under one lock.
+/// The snapshot and the authority, which are replaced under one lock.
 pub(super) struct VersionState {
     pub(super) snapshot: Arc<Snapshot>,
-    /// Identifies callers; present where the snapshot says that callers are identified.
+    /// Identifies callers; present if the snapshot's identification is on.
     pub(super) authority: Option<Box<Authority>>,
 }
 
 impl VersionState {
-    /// Identifies callers; `None`: callers are not identified.
+    /// Returns the authority that identifies callers, or `None` if callers are not identified.
+    ///
+    /// # Errors
+    ///
+    /// If all requests are rejected until a version is committed.
     pub(super) fn authority(&mut self) -> Result<Option<&mut Authority>, Reason> {
         match (self.snapshot.identification, &mut self.authority) {
             (Identification::Off, _) => Ok(None),
@@ -45,44 +49,45 @@
     }
 }
 
-/// The key set of an issuer, which is a file or comes with the version.
+/// The key set of an issuer, read from a file or streamed with the version.
 struct IssuerKeys {
     issuer: String,
     set: KeySet,
 }
 
-/// The part of a staged version that identifies callers.
+/// The identity policy of a staged version, with the roots and keys that it needs.
 struct StagedIdentity {
     policy: Policy,
     trust: Option<Trust>,
     keys: Vec<IssuerKeys>,
 }
 
-/// The snapshot of a version that has been read and checked, and is not in force yet. Dropping it discards the version.
+/// The snapshot of a version that has been read and checked but is not in force yet. Dropping it discards the version.
 pub struct StagedSnapshot<'a> {
-    /// The snapshot, as it will be in force.
+    /// The snapshot that requests see once the version is committed.
     pub snapshot: Snapshot,
     identity: Option<StagedIdentity>,
     pub(super) config: VersionConfig,
     _applying: MutexGuard<'a, ()>,
 }
 
-/// The version in force, the authority that belongs to it, and its configuration.
+/// The version in force, with its authority and configuration.
 pub(in crate::net) struct ActiveVersion {
     state: Mutex<VersionState>,
-    /// Callers are identified, or nobody is served. Read without the lock.
-    on: AtomicBool,
+    /// Whether requests need admission: callers are identified, or all requests are rejected. Read without the lock.
+    admission_required: AtomicBool,
     clock: Clock,
     seed: u64,
-    /// The newest configuration, whether it could be brought into force or not.
+    /// The newest configuration, whether or not it could be put in force.
     config: Mutex<VersionConfig>,
-    /// One version at a time is brought into force.
+    /// Held while a version is applied, so that versions are applied one at a time.
     applying: Mutex<()>,
-    /// The handover of the previous process, until there is an authority to take it.
+    /// The handover of the previous process, until an authority exists to apply it to.
     pending_handover: Mutex<Option<Handover>>,
 }
 
-/// The time by which TLS handshakes check certificates: the authority's, which survives steps of the wall clock.
+/// The time against which TLS handshakes check certificates: that of the authority, which is unaffected by steps of the
+/// wall clock.
 struct AuthorityTime(Weak<ActiveVersion>);
 
 impl fmt::Debug for AuthorityTime {
@@ -95,33 +100,33 @@
     fn current_time(&self) -> Option<UnixTime> {
         let version = self.0.upgrade()?;
         let now = version.now();
-        let time = match &mut lock(&version.state).authority {
+        let unix_millis = match &mut lock(&version.state).authority {
             Some(authority) => authority.time(now),
             None => now.unix,
         };
-        Some(UnixTime::since_unix_epoch(Duration::from_millis(time)))
+        Some(UnixTime::since_unix_epoch(Duration::from_millis(unix_millis)))
     }
 }
 
-/// Reads the key sets of issuers that are files or come with the version.
+/// Reads the key sets of issuers whose source is a file or the version itself.
 fn read_key_sets(config: &VersionConfig) -> Result<Vec<IssuerKeys>, VersionError> {
-    let mut keys = Vec::new();
+    let mut issuer_keys = Vec::new();
     for KeyFile { issuer, path } in config.key_files() {
         let set = read_key_set(&path)?;
-        keys.push(IssuerKeys { issuer, set });
+        issuer_keys.push(IssuerKeys { issuer, set });
     }
     for issuer in config.identity.iter().flat_map(|identity| &identity.settings.issuers) {
         if let Source::Set(name) = &issuer.source {
             let text = config.key_sets.get(name).ok_or_else(|| VersionError::MissingKeySet(name.clone()))?;
             let set = KeySet::parse(text.as_bytes()).map_err(|error| KeySetError::Invalid(error.into()))?;
-            keys.push(IssuerKeys { issuer: issuer.name.clone(), set });
+            issuer_keys.push(IssuerKeys { issuer: issuer.name.clone(), set });
         }
     }
-    Ok(keys)
+    Ok(issuer_keys)
 }
 
 impl ActiveVersion {
-    /// Starts with `deployment` in force and callers not identified.
+    /// Creates a version with `deployment` in force, which does not identify callers yet.
     pub(super) fn new(clock: Clock, seed: u64, deployment: Deployment) -> Arc<ActiveVersion> {
         let version: Arc<str> = NO_VERSION.into();
         let snapshot = Arc::new(Snapshot {
@@ -135,7 +140,7 @@
         });
         Arc::new(ActiveVersion {
             state: Mutex::new(VersionState { snapshot, authority: None }),
-            on: AtomicBool::new(false),
+            admission_required: AtomicBool::new(false),
             clock,
             seed,
             config: Mutex::new(VersionConfig {
@@ -147,51 +152,51 @@
         })
     }
 
-    /// Both clocks now, in milliseconds.
+    /// Returns the current time of the wall clock and the monotonic clock, in milliseconds.
     pub(super) fn now(&self) -> Now {
         Now { unix: self.clock.unix_ms(), monotonic: self.clock.now() / 1_000 }
     }
 
-    /// The time source of TLS handshakes.
-    pub(super) fn time(self: &Arc<ActiveVersion>) -> Arc<dyn TimeProvider> {
+    /// Returns the time source for TLS handshakes.
+    pub(super) fn tls_time_provider(self: &Arc<ActiveVersion>) -> Arc<dyn TimeProvider> {
         Arc::new(AuthorityTime(Arc::downgrade(self)))
     }
 
-    /// The state, locked: for a moment, without I/O.
+    /// Locks the state. The lock must be held briefly and not during I/O, because requests wait for it.
     pub(super) fn state(&self) -> MutexGuard<'_, VersionState> {
         lock(&self.state)
     }
 
-    /// Held while a version, or a part of it, is brought into force: one at a time.
+    /// Locks out other changes while a version, or a part of it, is applied.
     pub(super) fn lock_applying(&self) -> MutexGuard<'_, ()> {
         lock(&self.applying)
     }
 
-    /// The newest configuration, in force or not.
+    /// Returns the newest configuration, whether or not it could be put in force.
     pub(super) fn config(&self) -> VersionConfig {
         lock(&self.config).clone()
     }
 
-    /// Records the newest configuration, whether it could be brought into force or not.
+    /// Records the newest configuration, whether or not it could be put in force.
     pub(super) fn set_config(&self, config: VersionConfig) {
         *lock(&self.config) = config;
     }
 
-    /// Serves nobody until a version is committed.
+    /// Rejects all requests until a version is committed.
     pub fn seal(&self, cause: &str) {
         tracing::error!(cause, "nobody is served");
         let state = &mut *lock(&self.state);
         state.snapshot =
             Arc::new(Snapshot { identification: Identification::Sealed, ..(*state.snapshot).clone() });
-        self.on.store(true, Ordering::SeqCst);
+        self.admission_required.store(true, Ordering::SeqCst);
     }
 
-    /// Reads and checks all that a version needs, without bringing anything into force. No other version can be brought
-    /// into force between this and [`ActiveVersion::commit`].
+    /// Reads and checks everything that a version needs, without putting it in force. Until the result is committed or
+    /// dropped, no other version can be applied.
     ///
     /// # Errors
     ///
-    /// If a file or a key set can't be used, or what is stated of identity has a fault.
+    /// If a file, a key set or the identity settings are not valid.
     pub fn stage(
         self: &Arc<ActiveVersion>,
         config: VersionConfig,
@@ -200,16 +205,16 @@
         let applying = lock(&self.applying);
         let parts = config.read_trust_parts()?;
         let trust = parts.trust(true).map_err(VersionError::Trust)?;
-        let endpoints = Arc::new(config.read_endpoints(&parts, &self.time())?);
+        let endpoints = Arc::new(config.read_endpoints(&parts, &self.tls_time_provider())?);
         let keys = read_key_sets(&config)?;
         let settings = config.identity.as_ref().map(|identity| identity.settings.clone());
         let policy =
             settings.map(Policy::new).transpose().map_err(|error| VersionError::Policy(error.into()))?;
-        let before = self.check_keys(&keys)?;
+        let current = self.check_keys(&keys)?;
         let snapshot = Snapshot {
             version: config.version.clone(),
-            deployment: deployment.map_or_else(|| before.deployment.clone(), Arc::new),
-            routes: config.routes.clone().map_or_else(|| before.routes.clone(), Arc::new),
+            deployment: deployment.map_or_else(|| current.deployment.clone(), Arc::new),
+            routes: config.routes.clone().map_or_else(|| current.routes.clone(), Arc::new),
             endpoints,
             limits: config.limits,
             shows_version: config.shows_version,
@@ -219,7 +224,7 @@
         Ok(StagedSnapshot { snapshot, identity, config, _applying: applying })
     }
 
-    /// Checks that key sets fit the keys in force, and returns the snapshot that is in force with those.
+    /// Checks that key sets are consistent with the keys in force, and returns the snapshot in force with those keys.
     fn check_keys(&self, keys: &[IssuerKeys]) -> Result<Arc<Snapshot>, VersionError> {
         let state = lock(&self.state);
         if let Some(authority) = &state.authority {
@@ -233,19 +238,19 @@
         Ok(state.snapshot.clone())
     }
 
-    /// Brings a version into force, as a whole.
+    /// Puts a staged version in force atomically.
     pub fn commit(&self, staged: StagedSnapshot<'_>) {
         let StagedSnapshot { snapshot, identity, config, _applying } = staged;
-        let (now, mut before) = (self.now(), None);
+        let (now, mut previous_policy) = (self.now(), None);
         {
             let state = &mut *lock(&self.state);
             match identity {
                 None => state.authority = None,
                 Some(StagedIdentity { policy, trust, keys }) => {
-                    let fresh = || Box::new(Authority::new(self.seed));
+                    let new_authority = || Box::new(Authority::new(self.seed));
                     let is_new = state.authority.is_none();
-                    let authority = state.authority.get_or_insert_with(fresh);
-                    before = Some(authority.set_policy(policy, now));
+                    let authority = state.authority.get_or_insert_with(new_authority);
+                    previous_policy = Some(authority.set_policy(policy, now));
                     if is_new && let Some(pending_handover) = lock(&self.pending_handover).take() {
                         authority.take_over(pending_handover, now);
                     }
@@ -258,49 +263,49 @@
                     }
                 }
             }
-            self.on.store(snapshot.identification != Identification::Off, Ordering::SeqCst);
+            self.admission_required.store(snapshot.identification != Identification::Off, Ordering::SeqCst);
             state.snapshot = Arc::new(snapshot);
         }
-        // Dropped without the lock: with thousands of tenants that takes a while.
-        drop(before);
+        // Dropped after the lock is released, because dropping thousands of tenants is slow.
+        drop(previous_policy);
         self.set_config(config);
     }
 
-    /// Replaces the file's routes by those of the consensus group.
+    /// Replaces the routes in force with those of the consensus group.
     pub fn replace_routes(&self, routes: Routes) {
         let _applying = lock(&self.applying);
         let state = &mut *lock(&self.state);
         state.snapshot = Arc::new(Snapshot { routes: Arc::new(routes), ..(*state.snapshot).clone() });
     }
 
-    /// The snapshot in force.
+    /// Returns the snapshot in force.
     pub fn snapshot(&self) -> Arc<Snapshot> {
         lock(&self.state).snapshot.clone()
     }
 
-    /// Whether nobody is served.
-    pub fn sealed(&self) -> bool {
-        self.is_on() && lock(&self.state).snapshot.identification == Identification::Sealed
+    /// Returns whether all requests are rejected until a version is committed.
+    pub fn is_sealed(&self) -> bool {
+        self.requires_admission() && lock(&self.state).snapshot.identification == Identification::Sealed
     }
 
-    /// Whether callers are identified at all.
-    pub fn is_on(&self) -> bool {
-        self.on.load(Ordering::Relaxed)
+    /// Returns whether requests need admission: callers are identified, or all requests are rejected.
+    pub fn requires_admission(&self) -> bool {
+        self.admission_required.load(Ordering::Relaxed)
     }
 
-    /// Keys and figures; `None`: identity is off.
+    /// Returns the state of keys and counters for metrics, or `None` if callers are not identified.
     pub fn report(&self) -> Option<Report> {
         let now = self.now();
         lock(&self.state).authority.as_mut().map(|authority| authority.report(now))
     }
 
-    /// The state of tokens and keys, for the process that takes over; `None`: identity is off.
+    /// Returns the state of tokens and keys for the process that takes over, or `None` if callers are not identified.
     pub fn hand_over(&self) -> Option<Handover> {
         let now = self.now();
         lock(&self.state).authority.as_mut().map(|authority| authority.hand_over(now))
     }
 
-    /// Applies the handover of the previous process, now or once there is an authority.
+    /// Applies the handover of the previous process, or stores it until an authority exists.
     pub fn take_over(&self, handover: Handover) {
         let now = self.now();
         match &mut lock(&self.state).authority {
