--- a/src/commands/identity/offline.rs
+++ b/src/commands/identity/offline.rs
@@ -3,7 +3,7 @@
 use super::error::{Cause, CommandError, FileProblem};
 use super::files::read_bytes;
 use crate::files::Disk;
-use crate::net::configuration::identity::fetch;
+use crate::net::configuration::identity::fetch_key_set;
 use crate::net::frontend::tls::TrustParts;
 use sagearch_identity::authority::KeySetRequest;
 use sagearch_identity::jwks::KeySet;
@@ -61,7 +61,7 @@
             (None, Source::Url { url, roots, .. }) => {
                 let request =
                     KeySetRequest { issuer: issuer.name.clone(), url: url.clone(), roots: roots.clone() };
-                return fetch(&request).map_err(|error| issuer_error(issuer, error));
+                return fetch_key_set(&request).map_err(|error| issuer_error(issuer, error));
             }
         };
         KeySet::parse(&bytes).map_err(|error| issuer_error(issuer, error))
--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -138,7 +138,7 @@
         if !self.ready.load(Ordering::SeqCst) {
             return Some("starting");
         }
-        if self.guard.version.sealed() {
+        if self.guard.version.is_sealed() {
             return Some("the operators' file can't be used");
         }
         self.broker().draining_since().map(|_| "drained")
--- a/src/net/frontend/admin.rs
+++ b/src/net/frontend/admin.rs
@@ -129,7 +129,7 @@
         if *call == Call::Ready {
             return Ok(());
         }
-        let Some(operator) = self.core.guard.admission.operator(credentials)? else { return Ok(()) };
+        let Some(operator) = self.core.guard.admission.identify_operator(credentials)? else { return Ok(()) };
         match call {
             Call::Change(intent) if !operator.may_change => {
                 tracing::warn!(operator = %operator.name, ?intent, "operators: no right to change");
--- a/src/net/frontend/clients/expiry.rs
+++ b/src/net/frontend/clients/expiry.rs
@@ -55,7 +55,7 @@
     /// Shuts idle connections whose certificates are not valid any more or expire soon. Their clients open new ones,
     /// with the certificates that they have by then.
     pub fn shut_expired_identities(&self, guard: &Guard) {
-        if !guard.version.is_on() {
+        if !guard.version.requires_admission() {
             return;
         }
         let has_expired = |presented: &Presented| {
--- a/src/net/frontend/dns/resolver.rs
+++ b/src/net/frontend/dns/resolver.rs
@@ -101,7 +101,7 @@
             ..Request::default()
         };
         let end = self.service.execute(request, caller, &Work::Check, None);
-        if self.service.guard().version.is_on() {
+        if self.service.guard().version.requires_admission() {
             self.service.guard().metrics.ended(caller, end.label());
         }
         match end {
--- a/src/net/frontend/http/request.rs
+++ b/src/net/frontend/http/request.rs
@@ -245,7 +245,7 @@
         is_lookup: false,
     };
     let end = service.execute(request, caller, &Work::Pull(Arc::new(object.pull)), Some(connection));
-    if service.guard().version.is_on() {
+    if service.guard().version.requires_admission() {
         record_end(&**service, caller, object.id, &end);
     }
     if !matches!(end, RequestEnd::Gone) {
