--- a/crates/identity/src/authority.rs
+++ b/crates/identity/src/authority.rs
@@ -1,7 +1,6 @@
-//! The decision who calls: it is given settings, key sets and roots, and asked for each request.
+//! Identifies the caller of each request from settings, key sets and roots.
 //!
-//! A call takes `&mut self` and a short time, and none waits for anything. If something is missing or inconsistent, the
-//! answer is a refusal.
+//! Calls take `&mut self`, return quickly and never block. A request is refused if anything is missing or inconsistent.
 
 mod certificates;
 mod handover;
@@ -31,21 +30,21 @@
 use std::sync::Arc;
 use tokens::{TokenVerifier, VerifiedSignature, VersionedPolicy, verify_signature};
 
-/// The credentials of a request. If there is a token, the certificate does not count, whether the token is valid or not.
+/// The credentials of a request. If there is a token, the certificate is ignored, even if the token is invalid.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Credentials<'a> {
     /// The bearer token (RFC 6750).
     pub bearer: Option<&'a str>,
-    /// The certificate chain of the client's connection.
+    /// The certificate chain that the client presented on the connection.
     pub certificate: Option<&'a Presented>,
 }
 
-/// An operator who has been identified.
+/// An authenticated operator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OperatorCaller {
     /// The operator's name.
     pub name: Arc<str>,
-    /// Whether the operator may change things.
+    /// Whether the operator may make changes, not only read.
     pub may_change: bool,
 }
 
@@ -55,10 +54,10 @@
     }
 }
 
-/// Identifies callers, under settings and keys that change in service.
+/// Identifies callers, with settings and keys that change at run time.
 pub struct Authority {
     policy: Policy,
-    /// Counts the policies that have been in force.
+    /// The number of policies that have been applied.
     version: u64,
     key_sets: KeySets,
     tokens: TokenVerifier,
@@ -67,7 +66,8 @@
 }
 
 impl Authority {
-    /// An authority without a policy, which identifies nobody. `seed` spreads the times at which gateways ask issuers.
+    /// Creates an authority without a policy, which identifies no caller. `seed` spreads the times at which gateways
+    /// fetch key sets.
     pub fn new(seed: u64) -> Authority {
         let policy = Policy::empty();
         let capacity = cache_capacity(&policy.settings);
@@ -81,30 +81,31 @@
         }
     }
 
-    /// An authority under these settings. No token is accepted before its issuer's key set is installed, and no
-    /// certificate before there is a [`Trust`].
+    /// Creates an authority with these settings. No token is accepted before its issuer's key set is installed, and no
+    /// certificate before a [`Trust`] is set.
     ///
     /// # Errors
     ///
-    /// The settings can't be used.
+    /// The settings are invalid.
     pub fn with_settings(settings: Settings, seed: u64, now: Now) -> Result<Authority, PolicyError> {
         let mut authority = Authority::new(seed);
         authority.apply_settings(settings, now)?;
         Ok(authority)
     }
 
-    /// Brings settings into force.
+    /// Compiles and applies settings.
     ///
     /// # Errors
     ///
-    /// The settings can't be used; those in force stay.
+    /// The settings are invalid; the current ones stay in force.
     pub fn apply_settings(&mut self, settings: Settings, now: Now) -> Result<(), PolicyError> {
         self.set_policy(Policy::new(settings)?, now);
         Ok(())
     }
 
-    /// Brings a policy into force. The keys of issuers that stay are kept, and so are the ends of all keys. Returns the
-    /// policy before: with thousands of tenants it takes a while to drop, which is not to be done under a lock.
+    /// Applies a policy. The keys of issuers that remain in the settings are kept, and so is the record of ended keys
+    /// of all issuers. Returns the previous policy, which the caller drops outside its lock: with thousands of tenants
+    /// the drop takes a while.
     pub fn set_policy(&mut self, policy: Policy, now: Now) -> Policy {
         let now = self.tolerate_steps(now);
         self.key_sets.apply_policy(&policy, now);
@@ -115,27 +116,27 @@
         std::mem::replace(&mut self.policy, policy)
     }
 
-    /// `now` with the time to judge validity by in place of the Unix clock's.
+    /// Returns `now` with the step-tolerant time in place of the Unix clock's.
     fn tolerate_steps(&mut self, now: Now) -> Now {
         Now { unix: self.clock.time(now), ..now }
     }
 
-    /// Checks whether a key set could be installed, with the keys that are held of the issuer.
+    /// Checks whether a key set could be installed in addition to the keys that the issuer's keyring holds.
     ///
     /// # Errors
     ///
-    /// The set has no usable key, or there would be too many keys.
+    /// The set has no usable key, or the keyring would exceed its capacity.
     pub fn check_key_set(&self, issuer: &str, set: &KeySet) -> Result<(), InstallError> {
         self.key_sets.check(issuer, set)
     }
 
-    /// Replaces the roots and revocation lists for certificates.
+    /// Replaces the roots and revocation lists that certificates are verified with.
     pub fn set_trust(&mut self, trust: Option<Trust>) {
         self.chains.set_trust(trust);
     }
 
-    /// The requests to issuers that are to be made now. The result of each is passed to [`Authority::install_key_set`]
-    /// or [`Authority::record_failed_fetch`].
+    /// Returns the key set requests that are due and marks them as started. The result of each must be passed to
+    /// [`Authority::install_key_set`] or [`Authority::record_failed_fetch`].
     pub fn start_due_requests(&mut self, now: Now) -> Vec<KeySetRequest> {
         self.key_sets.start_due_requests(&self.policy.settings.issuers, now.monotonic)
     }
@@ -144,20 +145,21 @@
     ///
     /// # Errors
     ///
-    /// The issuer is not in the settings, the set has no usable key, or there would be too many keys. The last good keys
-    /// are accepted until they are too old.
+    /// The issuer is not in the settings, the set has no usable key, or the keyring would exceed its capacity. The keys
+    /// of the last installed set are accepted until they are stale.
     pub fn install_key_set(&mut self, issuer: &str, set: &KeySet, now: Now) -> Result<(), InstallError> {
         let now = self.tolerate_steps(now);
         self.key_sets.install(&self.policy, issuer, set, now)
     }
 
-    /// An issuer's key set could not be had. The last good keys are accepted until they are too old.
+    /// Records that an issuer's key set could not be fetched. The keys of the last installed set are accepted until
+    /// they are stale.
     pub fn record_failed_fetch(&mut self, issuer: &str, now: Now) {
         let now = self.tolerate_steps(now);
         self.key_sets.record_failed_fetch(issuer, now.monotonic);
     }
 
-    /// The caller that a request is carried out for. What the caller may ask for is decided by [`Caller::may`].
+    /// Identifies the caller of a request. [`Caller::may`] decides what the caller may request.
     ///
     /// # Errors
     ///
@@ -182,13 +184,13 @@
         self.chains.check(presented, &self.policy.settings.revoked.serials, now)
     }
 
-    /// Whether a connection's certificate still maps to a tenant.
+    /// Whether a connection's certificate is valid, not revoked and still maps to a tenant.
     pub fn is_certificate_valid(&mut self, presented: &Presented, now: Now) -> bool {
         let now = self.tolerate_steps(now);
         self.check_chain(presented, now.unix).is_ok() && self.policy.certificate_caller(presented).is_ok()
     }
 
-    /// The operator who calls the operators' address.
+    /// Identifies the operator of a request to the operators' address.
     ///
     /// # Errors
     ///
@@ -219,16 +221,16 @@
         !self.policy.settings.operators.is_empty()
     }
 
-    /// The caller that DNS queries from an address are carried out for.
+    /// Identifies the caller of DNS queries from an address.
     ///
     /// # Errors
     ///
-    /// The address is in no tenant's network, or has been revoked as a principal.
+    /// The address is in no tenant's network, or is revoked as a principal.
     pub fn identify_network(&self, from: IpAddr) -> Result<Arc<Caller>, Reason> {
         self.policy.network_caller(from)
     }
 
-    /// The state of identity. Ends of keys that have come by time alone are recorded first.
+    /// Reports the state of caller identification, after recording the keys that have ended by time alone.
     pub fn report(&mut self, now: Now) -> Report {
         let now = self.tolerate_steps(now);
         let issuers = &self.policy.settings.issuers;
@@ -242,25 +244,25 @@
         }
     }
 
-    /// The time to judge validity by, in milliseconds since the Unix epoch, for handshakes.
+    /// The step-tolerant time in milliseconds since the Unix epoch, for checks of validity in TLS handshakes.
     pub fn time(&mut self, now: Now) -> Millis {
         self.clock.time(now)
     }
 
-    /// What the process that takes over must know.
+    /// Collects the state for the process that takes over from this one.
     pub fn hand_over(&mut self, now: Now) -> Handover {
         let now = self.tolerate_steps(now);
         self.key_sets.hand_over(now.unix)
     }
 
-    /// Takes over from another process of this gateway: nothing is accepted that it has refused.
+    /// Takes over from another process of this gateway, so that nothing is accepted that it has refused.
     pub fn take_over(&mut self, handover: Handover, now: Now) {
         self.clock = StepTolerantClock::starting_at(handover.floor, now);
         self.key_sets.take_over(&self.policy, handover);
     }
 }
 
-/// How many tokens are remembered, and how many certificate chains: at least one each.
+/// The capacity of the token cache and of the certificate chain cache: at least one entry each.
 fn cache_capacity(settings: &Settings) -> NonZeroUsize {
     NonZeroUsize::new(settings.cached).unwrap_or(NonZeroUsize::MIN)
 }
--- a/crates/identity/src/authority/certificates.rs
+++ b/crates/identity/src/authority/certificates.rs
@@ -1,4 +1,4 @@
-//! The verification of clients' certificate chains, and the cache of those that have been verified.
+//! Verifies client certificate chains and caches the verified ones.
 
 use crate::Millis;
 use crate::caller::Reason;
@@ -7,38 +7,38 @@
 use std::collections::BTreeSet;
 use std::num::NonZeroUsize;
 
-/// Verifies certificate chains under the roots and revocation lists in force, and remembers those that it has verified.
+/// Verifies certificate chains with the current roots and revocation lists, and caches the verified ones.
 pub(super) struct ChainVerifier {
     trust: Option<Trust>,
-    /// Counts changes of `trust`.
+    /// The number of changes of `trust`.
     trust_generation: u64,
     verified: LruCache<[u8; 32], VerifiedChain>,
 }
 
 impl ChainVerifier {
-    /// Remembers at most `capacity` chains. No chain is accepted before there is a [`Trust`].
+    /// Creates a verifier that caches at most `capacity` chains. No chain is accepted before a [`Trust`] is set.
     pub(super) fn new(capacity: NonZeroUsize) -> ChainVerifier {
         let verified = LruCache::new(capacity);
         ChainVerifier { trust: None, trust_generation: 0, verified }
     }
 
-    /// Remembers at most `capacity` chains from here on.
+    /// Changes the capacity of the cache; the least recently used chains above it are evicted.
     pub(super) fn resize(&mut self, capacity: NonZeroUsize) {
         self.verified.resize(capacity);
     }
 
-    /// How many chains are remembered.
+    /// The number of cached chains.
     pub(super) fn cached(&self) -> usize {
         self.verified.len()
     }
 
-    /// Replaces the roots and revocation lists; all chains are verified again.
+    /// Replaces the roots and revocation lists, which invalidates all cached chains.
     pub(super) fn set_trust(&mut self, trust: Option<Trust>) {
         self.trust = trust;
         self.trust_generation += 1;
     }
 
-    /// Checks that a chain is valid now, and that the operators have not revoked its serial number.
+    /// Checks that a chain is valid now and that the operators have not revoked its serial number.
     pub(super) fn check(
         &mut self,
         presented: &Presented,
--- a/crates/identity/src/authority/handover.rs
+++ b/crates/identity/src/authority/handover.rs
@@ -1,14 +1,15 @@
-//! What a process hands over to the one that takes over from it.
+//! The state that a process hands over to its successor.
 
 use crate::Millis;
 use crate::keyring::KeyringHandover;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a process hands over to the next one, so that this accepts nothing that was refused already.
+/// The state that a process hands over to its successor, so that the successor accepts nothing that was already
+/// refused.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Handover {
-    /// The time by which validity was judged last, in milliseconds since the Unix epoch.
+    /// The step-tolerant time at the handover, in milliseconds since the Unix epoch; the successor starts no earlier.
     pub(super) floor: Millis,
     /// Keys by issuer.
     pub(super) issuers: BTreeMap<String, KeyringHandover>,
--- a/crates/identity/src/authority/key_sets.rs
+++ b/crates/identity/src/authority/key_sets.rs
@@ -1,4 +1,4 @@
-//! The keyrings of all issuers, and when each issuer is asked for its key set.
+//! The keyrings of all issuers and the schedules by which their key sets are fetched.
 
 use super::handover::Handover;
 use super::policy::Policy;
@@ -14,31 +14,31 @@
 use std::collections::HashMap;
 use thiserror::Error;
 
-/// Keyrings are kept of this many issuers, those included that are not in the settings any more.
+/// The maximum number of keyrings, including those of issuers that were removed from the settings.
 const MAX_KEYRINGS: usize = 2 * MAX_ISSUERS;
 
-/// A request for an issuer's key set that is to be made now.
+/// A request for an issuer's key set that is due.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KeySetRequest {
     /// The issuer's name.
     pub issuer: String,
-    /// Where its key set is.
+    /// The URL of its key set.
     pub url: String,
-    /// A file with the roots for an https server's certificate; `None` for plain http.
+    /// The file with the roots that verify an https server's certificate; `None` for plain http.
     pub roots: Option<String>,
 }
 
-/// Why an issuer's key set is not taken. The last good one holds on.
+/// Why an issuer's key set is rejected. The keys of the last installed set stay.
 #[derive(Debug, Error)]
 pub enum InstallError {
-    /// The issuer is not in the settings any more.
+    /// The issuer is no longer in the settings.
     #[error("the issuer is gone")]
     UnknownIssuer,
-    /// The set has no key that verifies tokens. This is more likely a fault than the wish to have every token refused;
-    /// revoking keys says that.
+    /// The set has no key that verifies tokens. This is treated as a fault of the issuer and not as a request to refuse
+    /// all its tokens, which is made by revoking keys.
     #[error("no key that can be used")]
     NoUsableKey,
-    /// There would be too many keys.
+    /// The keyring would exceed its capacity.
     #[error(transparent)]
     KeyringFull(#[from] KeyringFull),
 }
@@ -49,7 +49,7 @@
     thumbprint: Thumbprint,
 }
 
-/// The keyrings of all issuers, and the schedules of those that are asked over HTTP.
+/// The keyrings of all issuers, and the refresh schedules of those whose key sets are fetched over HTTP.
 pub(super) struct KeySets {
     keyrings: HashMap<String, Keyring>,
     schedules: HashMap<String, RefreshSchedule>,
@@ -57,12 +57,12 @@
 }
 
 impl KeySets {
-    /// `seed` spreads the times at which gateways ask issuers.
+    /// Creates key sets without issuers. `seed` spreads the times at which gateways fetch key sets.
     pub(super) fn new(seed: u64) -> KeySets {
         KeySets { keyrings: HashMap::new(), schedules: HashMap::new(), seed }
     }
 
-    /// Goes on under a new policy. The keys of issuers that stay are kept.
+    /// Applies a new policy. The keys of issuers that remain in the settings are kept.
     pub(super) fn apply_policy(&mut self, policy: &Policy, now: Now) {
         for issuer in &policy.settings.issuers {
             let keyring = self.keyrings.entry(issuer.name.clone()).or_default();
@@ -71,20 +71,21 @@
             self.apply_source(issuer, now.monotonic);
         }
         self.schedules.retain(|name, _| policy.issuer(name).is_some());
-        // The keyrings of former issuers remember which keys must never be accepted again, as long as there is room.
+        // The keyrings of removed issuers record which keys must never be accepted again; they are kept up to the
+        // limit.
         if self.keyrings.len() > MAX_KEYRINGS {
             self.keyrings.retain(|name, _| policy.issuer(name).is_some());
         }
         self.revoke(policy);
     }
 
-    /// Starts, continues or ends asking an issuer for its keys. `now` is of the monotonic clock.
+    /// Starts, updates or ends the schedule by which an issuer's key set is fetched. `now` is of the monotonic clock.
     fn apply_source(&mut self, issuer: &Issuer, now: Millis) {
         let Source::Url { times, .. } = &issuer.source else {
             self.schedules.remove(&issuer.name);
             return;
         };
-        // Gateways with different seeds ask at different times, and so does a gateway its different issuers.
+        // Spreads the fetches of gateways with different seeds, and those of one gateway from different issuers.
         let digest = digest::digest(&digest::SHA256, issuer.name.as_bytes());
         let salt = u64::from_le_bytes(digest.as_ref()[..8].try_into().unwrap_or_default());
         let seed = self.seed ^ salt;
@@ -92,7 +93,7 @@
         schedule.or_insert_with(|| RefreshSchedule::new(*times, seed, now)).set_times(*times);
     }
 
-    /// Revokes the keys that the operators have revoked.
+    /// Revokes the keys that the settings list as revoked.
     fn revoke(&mut self, policy: &Policy) {
         for (issuer, kid) in &policy.settings.revoked.keys {
             if let Some(keyring) = self.keyrings.get_mut(issuer) {
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Checks whether a set could be installed, with the keys that are held of the issuer.
+    /// Checks whether a set could be installed in addition to the keys that the issuer's keyring holds.
     pub(super) fn check(&self, issuer: &str, set: &KeySet) -> Result<(), InstallError> {
         check_usable(set)?;
         match self.keyrings.get(issuer) {
@@ -110,7 +111,7 @@
         }
     }
 
-    /// The requests that are to be made now. `now` is of the monotonic clock.
+    /// Returns the requests that are due and marks them as started. `now` is of the monotonic clock.
     pub(super) fn start_due_requests(&mut self, issuers: &[Issuer], now: Millis) -> Vec<KeySetRequest> {
         let mut requests = Vec::new();
         for issuer in issuers {
@@ -126,7 +127,7 @@
         requests
     }
 
-    /// Installs the key set that an issuer publishes.
+    /// Installs the key set that an issuer publishes, and reports the result to its refresh schedule.
     pub(super) fn install(
         &mut self,
         policy: &Policy,
@@ -156,15 +157,15 @@
         Ok(self.keyrings.entry(name.into()).or_default().install(set, issuer, now)?)
     }
 
-    /// An issuer's key set could not be had. `now` is of the monotonic clock.
+    /// Records that an issuer's key set could not be fetched. `now` is of the monotonic clock.
     pub(super) fn record_failed_fetch(&mut self, issuer: &str, now: Millis) {
         if let Some(schedule) = self.schedules.get_mut(issuer) {
             schedule.finish(now, RequestResult::Failed);
         }
     }
 
-    /// Verifies a token's signature by one of the issuer's keys. A token that names an unknown key has the issuer asked
-    /// sooner.
+    /// Verifies a token's signature by one of the issuer's keys. A token with an unknown key id makes the next fetch of
+    /// the key set due earlier.
     pub(super) fn verify(
         &mut self,
         issuer: &Issuer,
@@ -186,14 +187,14 @@
         }
     }
 
-    /// Checks that a key that has verified a signature before is still accepted.
+    /// Checks that a key that verified a signature earlier is still accepted.
     pub(super) fn check_key(&self, issuer: &Issuer, key: &VerifyingKey, now: Millis) -> Result<(), Reason> {
         let keyring = self.keyrings.get(&issuer.name).ok_or(Reason::KeyUnknown)?;
         keyring.check_fresh(issuer, now)?;
         keyring.check_key(&key.kid, &key.thumbprint, now)
     }
 
-    /// The report of an issuer. Ends of keys that have come by time alone are recorded first.
+    /// Reports the state of an issuer, after recording the keys that have ended by time alone.
     pub(super) fn report(&mut self, issuer: &Issuer, now: Millis) -> IssuerReport {
         let keyring = self.keyrings.entry(issuer.name.clone()).or_default();
         keyring.apply_ends(now);
@@ -207,7 +208,7 @@
         }
     }
 
-    /// What the process that takes over must know of keys.
+    /// Collects the state of all keys for the process that takes over.
     pub(super) fn hand_over(&mut self, now: Millis) -> Handover {
         self.keyrings.values_mut().for_each(|keyring| keyring.apply_ends(now));
         let issuers =
@@ -215,13 +216,13 @@
         Handover { floor: now, issuers }
     }
 
-    /// Accepts no key from here on that the process before has refused.
+    /// Takes over the state of keys from the previous process, so that no key is accepted that it has refused.
     pub(super) fn take_over(&mut self, policy: &Policy, handover: Handover) {
         for (name, keys) in handover.issuers.into_iter().take(MAX_KEYRINGS) {
             let issuer = policy.issuer(&name);
             let keyring = self.keyrings.entry(name).or_default();
             keyring.take_over(keys);
-            // An issuer that is not in the settings may come back to them.
+            // Keyrings of issuers that are not in the settings are kept, as the issuers may be added again.
             if let Some(issuer) = issuer {
                 keyring.apply_key_terms(issuer);
             }
--- a/crates/identity/src/authority/policy.rs
+++ b/crates/identity/src/authority/policy.rs
@@ -1,4 +1,4 @@
-//! The settings in a form for look-ups: which tenant or operator a caller's claims and names map to.
+//! The settings compiled for lookups of the tenant or operator that claims and certificate names map to.
 
 use super::policy_error::{EntryError, PolicyError};
 use super::settings_limits::check_limits;
@@ -20,7 +20,7 @@
     rights: Arc<Rights>,
 }
 
-/// One version of the settings, checked and compiled. It never changes.
+/// One version of the settings, checked and compiled. It is immutable.
 pub struct Policy {
     pub(super) settings: Settings,
     tenants: Vec<Tenant>,
@@ -32,7 +32,7 @@
 }
 
 impl Policy {
-    /// The policy of a process that has no settings yet.
+    /// Creates the policy of a process that has no settings yet.
     pub(super) fn empty() -> Policy {
         Policy {
             settings: Settings::default(),
@@ -45,11 +45,11 @@
         }
     }
 
-    /// Compiles settings.
+    /// Checks and compiles settings.
     ///
     /// # Errors
     ///
-    /// A name appears twice, something is referred to that is not there, or a limit is exceeded.
+    /// A name or a mark appears twice, a reference has no target, or a limit is exceeded.
     pub fn new(settings: Settings) -> Result<Policy, PolicyError> {
         check_limits(&settings)?;
         let issuers = index_issuers(&settings)?;
@@ -63,12 +63,12 @@
         Ok(Policy { settings, tenants, marks, operators, networks, issuers, anonymous })
     }
 
-    /// The settings of an issuer.
+    /// Returns the settings of an issuer.
     pub(super) fn issuer(&self, name: &str) -> Option<&Issuer> {
-        self.issuers.get(name).map(|at| &self.settings.issuers[*at])
+        self.issuers.get(name).map(|index| &self.settings.issuers[*index])
     }
 
-    /// The caller of the tenant that was matched.
+    /// Returns the caller of the matched tenant, unless the principal is revoked.
     fn caller(&self, matched: Match, principal: &str, proof: Proof) -> Result<Arc<Caller>, Reason> {
         let tenant = match matched {
             Match::One(index) => self.tenants.get(index).ok_or(Reason::NoTenant)?,
@@ -76,15 +76,15 @@
             Match::Several => return Err(Reason::CertificateNames),
         };
         if !self.settings.revoked.principals.is_empty() {
-            let who = (tenant.name.to_string(), principal.to_string());
-            if self.settings.revoked.principals.contains(&who) {
+            let tenant_and_principal = (tenant.name.to_string(), principal.to_string());
+            if self.settings.revoked.principals.contains(&tenant_and_principal) {
                 return Err(Reason::Revoked);
             }
         }
         Ok(caller(tenant, principal, proof))
     }
 
-    /// The caller that a token with good times maps to.
+    /// Returns the caller that a token maps to, after checking its claims.
     pub(super) fn token_caller(
         &self,
         claims: &Claims,
@@ -95,31 +95,31 @@
         let principal = claims.all.get(&issuer.principal).and_then(|value| value.as_str());
         let principal = principal.filter(|name| !name.is_empty() && name.len() <= MAX_NAME_BYTES);
         let matched = match self.marks.token(claims) {
-            // An ambiguous token maps to no tenant; only for certificates there is a reason of its own.
+            // An ambiguous token maps to no tenant; only certificates have a separate reason for this.
             Match::Several => Match::None,
             matched => matched,
         };
         self.caller(matched, principal.ok_or(Reason::Malformed)?, Proof::Token)
     }
 
-    /// The caller that the names in a valid certificate map to.
+    /// Returns the caller that the names in a verified certificate map to.
     pub(super) fn certificate_caller(&self, presented: &Presented) -> Result<Arc<Caller>, Reason> {
         let matched = self.marks.certificate(&presented.uris, &presented.names);
         self.caller(matched, presented.principal(), Proof::Certificate)
     }
 
-    /// The caller that a resolver's address maps to.
+    /// Returns the caller that a resolver's address maps to.
     pub(super) fn network_caller(&self, from: IpAddr) -> Result<Arc<Caller>, Reason> {
         let index = self.networks.longest_match(from).ok_or(Reason::NoTenant)?;
         self.caller(Match::One(index), &from.to_canonical().to_string(), Proof::Network)
     }
 
-    /// The caller of requests without credentials, where the settings name a tenant for them.
+    /// Returns the caller of requests without credentials, if the settings name a tenant for them.
     pub(super) fn anonymous_caller(&self) -> Option<Arc<Caller>> {
         self.anonymous.clone()
     }
 
-    /// The operator that a token's claims map to.
+    /// Returns the operator that a token maps to, after checking its claims.
     pub(super) fn token_operator(
         &self,
         claims: &Claims,
@@ -130,23 +130,23 @@
         self.operator(self.operators.token(claims))
     }
 
-    /// The operator that the names in a valid certificate map to.
+    /// Returns the operator that the names in a verified certificate map to.
     pub(super) fn certificate_operator(&self, presented: &Presented) -> Result<&Operator, Reason> {
         self.operator(self.operators.certificate(&presented.uris, &presented.names))
     }
 
-    /// The operator that was matched.
+    /// Returns the matched operator.
     fn operator(&self, matched: Match) -> Result<&Operator, Reason> {
         let Match::One(index) = matched else { return Err(Reason::RightMissing) };
         self.settings.operators.get(index).ok_or(Reason::RightMissing)
     }
 
-    /// How many tenants there are.
+    /// The number of tenants.
     pub(super) fn tenant_count(&self) -> usize {
         self.tenants.len()
     }
 
-    /// Checks a token's claims, whoever it maps to, and returns its issuer.
+    /// Checks a token's claims, independently of its tenant or operator, and returns its issuer.
     fn check_claims(&self, claims: &Claims, algorithm: Algorithm, now: Millis) -> Result<&Issuer, Reason> {
         let issuer = self.issuer(&claims.iss).ok_or(Reason::IssuerUnknown)?;
         if !issuer.algorithms.contains(&algorithm) {
@@ -162,11 +162,11 @@
     }
 }
 
-/// Checks settings as [`Policy::new`] does.
+/// Checks settings as [`Policy::new`] does, and discards the policy.
 ///
 /// # Errors
 ///
-/// A name appears twice, something is referred to that is not there, or a limit is exceeded.
+/// A name or a mark appears twice, a reference has no target, or a limit is exceeded.
 pub fn check(settings: &Settings) -> Result<(), PolicyError> {
     Policy::new(settings.clone()).map(drop)
 }
@@ -176,13 +176,13 @@
     Arc::new(Caller { tenant: tenant.name.clone(), principal: principal.into(), proof, rights })
 }
 
-/// The places of issuers in the settings, by name.
+/// The indices of issuers in the settings, by name.
 type IssuerIndex = HashMap<String, usize>;
 
 fn index_issuers(settings: &Settings) -> Result<IssuerIndex, PolicyError> {
     let mut issuers = HashMap::new();
-    for (at, issuer) in settings.issuers.iter().enumerate() {
-        if issuers.insert(issuer.name.clone(), at).is_some() {
+    for (index, issuer) in settings.issuers.iter().enumerate() {
+        if issuers.insert(issuer.name.clone(), index).is_some() {
             return Err(PolicyError::DuplicateIssuer(issuer.name.clone()));
         }
     }
@@ -196,13 +196,13 @@
     let (mut tenants, mut marks, mut names) = (Vec::new(), MarkIndex::default(), HashSet::new());
     let mut strings = StringInterner::default();
     for (index, tenant) in settings.tenants.iter().enumerate() {
-        let fault = |source| PolicyError::Tenant { tenant: tenant.name.clone(), source };
+        let error = |source| PolicyError::Tenant { tenant: tenant.name.clone(), source };
         if !names.insert(tenant.name.as_str()) {
-            return Err(fault(EntryError::Duplicate));
+            return Err(error(EntryError::Duplicate));
         }
-        check_issuers(&tenant.tokens, issuers).map_err(fault)?;
+        check_issuers(&tenant.tokens, issuers).map_err(error)?;
         let added = marks.add(index, &tenant.tokens, &tenant.certificates);
-        added.map_err(|conflict| fault(conflict.into()))?;
+        added.map_err(|conflict| error(conflict.into()))?;
         let rights = Arc::new(Rights::new(&tenant.rules, &mut strings));
         tenants.push(Tenant { name: tenant.name.as_str().into(), rights });
     }
@@ -212,15 +212,15 @@
 fn compile_operators(settings: &Settings, issuers: &IssuerIndex) -> Result<MarkIndex, PolicyError> {
     let mut marks = MarkIndex::default();
     for (index, operator) in settings.operators.iter().enumerate() {
-        let fault = |source| PolicyError::Operator { operator: operator.name.clone(), source };
-        check_issuers(&operator.tokens, issuers).map_err(fault)?;
+        let error = |source| PolicyError::Operator { operator: operator.name.clone(), source };
+        check_issuers(&operator.tokens, issuers).map_err(error)?;
         let added = marks.add(index, &operator.tokens, &operator.certificates);
-        added.map_err(|conflict| fault(conflict.into()))?;
+        added.map_err(|conflict| error(conflict.into()))?;
     }
     Ok(marks)
 }
 
-/// Checks that the issuers of tokens are in the settings.
+/// Checks that the issuers of token marks are in the settings.
 fn check_issuers(tokens: &[TokenMark], issuers: &IssuerIndex) -> Result<(), EntryError> {
     match tokens.iter().find(|mark| !issuers.contains_key(&mark.issuer)) {
         Some(mark) => Err(EntryError::UnknownIssuer(mark.issuer.clone())),
--- a/crates/identity/src/authority/policy_error.rs
+++ b/crates/identity/src/authority/policy_error.rs
@@ -1,48 +1,48 @@
-//! Why settings can't be used.
+//! Errors of settings.
 
 use crate::tenants::MarkConflict;
 use std::fmt;
 use thiserror::Error;
 
-/// Why settings can't be used.
+/// Why settings are invalid.
 #[derive(Debug, Error)]
 pub enum PolicyError {
-    /// There are more entries of a kind than there may be.
+    /// The number of entries of a kind exceeds its limit.
     #[error("{count} {kind} are over {limit}")]
     TooMany {
-        /// What there are too many of.
+        /// The kind of the entries.
         kind: EntryKind,
-        /// How many there are.
+        /// The number of entries in the settings.
         count: usize,
-        /// How many there may be.
+        /// The maximum number of entries.
         limit: usize,
     },
-    /// There are issuers, and no audience that a token could be for.
+    /// There are issuers but no audiences, so that every token would be refused.
     #[error("tokens are for nobody: no audience")]
     NoAudience,
     /// An issuer appears twice.
     #[error("issuer {0:?} stands twice")]
     DuplicateIssuer(String),
-    /// A tenant is faulty.
+    /// A tenant's entry is invalid.
     #[error("tenant {tenant:?}: {source}")]
     Tenant {
         /// The tenant's name.
         tenant: String,
-        /// What is wrong with it.
+        /// What is wrong with the entry.
         source: EntryError,
     },
-    /// An operator is faulty.
+    /// An operator's entry is invalid.
     #[error("operator {operator:?}: {source}")]
     Operator {
         /// The operator's name.
         operator: String,
-        /// What is wrong with it.
+        /// What is wrong with the entry.
         source: EntryError,
     },
     /// The tenant of requests without credentials is not in the settings.
     #[error("anonymous: tenant {0:?} is not in the file")]
     UnknownAnonymousTenant(String),
-    /// Two tenants have the same network.
+    /// Two tenants state the same network.
     #[error(transparent)]
     Network(MarkConflict),
 }
@@ -50,18 +50,18 @@
 /// What is wrong with a tenant or an operator.
 #[derive(Debug, Error)]
 pub enum EntryError {
-    /// Another one before has the same name.
+    /// An earlier entry has the same name.
     #[error("stands twice")]
     Duplicate,
-    /// Its tokens are of an issuer that is not in the settings.
+    /// A token mark names an issuer that is not in the settings.
     #[error("issuer {0:?} is not in the file")]
     UnknownIssuer(String),
-    /// Another one before states the same mark.
+    /// An earlier entry states the same mark.
     #[error(transparent)]
     Conflict(#[from] MarkConflict),
 }
 
-/// Entries of settings whose number is limited.
+/// The kinds of entries whose number is limited.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EntryKind {
     /// Issuers.
--- a/crates/identity/src/authority/report.rs
+++ b/crates/identity/src/authority/report.rs
@@ -1,23 +1,23 @@
-//! The report of identity, for metrics and people.
+//! The report on caller identification, for metrics and operators.
 
 use crate::Millis;
 use crate::keyring::KeyInfo;
 use serde::{Deserialize, Serialize};
 
-/// The state of identity, for metrics and people.
+/// The state of caller identification, for metrics and operators.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Report {
-    /// How many policies have been in force.
+    /// The number of policies that have been applied.
     pub version: u64,
-    /// How many tenants there are.
+    /// The number of tenants.
     pub tenants: usize,
-    /// How many verified tokens are remembered.
+    /// The number of verified tokens in the cache.
     pub tokens_cached: usize,
-    /// How many verified certificate chains are remembered.
+    /// The number of verified certificate chains in the cache.
     pub chains_cached: usize,
-    /// How many steps of the Unix clock were noticed.
+    /// The number of steps of the Unix clock that were detected.
     pub clock_steps: u64,
-    /// The issuers in the settings.
+    /// The state of each issuer in the settings.
     pub issuers: Vec<IssuerReport>,
 }
 
@@ -26,12 +26,12 @@
 pub struct IssuerReport {
     /// The issuer's name.
     pub name: String,
-    /// How long ago its last key set was installed, in milliseconds; `None`: never.
+    /// The age of its last installed key set in milliseconds; `None` if none was installed.
     pub heard_ms_ago: Option<Millis>,
-    /// How often it was asked for its key set.
+    /// The number of requests for its key set.
     pub lookups: u64,
-    /// Tokens with unknown keys that caused no request of their own.
+    /// The number of tokens with unknown keys that caused no additional request for the key set.
     pub lookups_spared: u64,
-    /// Its keys.
+    /// The state of its keys.
     pub keys: Vec<KeyInfo>,
 }
--- a/crates/identity/src/authority/settings_limits.rs
+++ b/crates/identity/src/authority/settings_limits.rs
@@ -1,9 +1,9 @@
-//! How many entries settings may have.
+//! Limits on the number of entries in settings.
 
 use super::policy_error::{EntryKind, PolicyError};
 use crate::settings::{MAX_ISSUERS, MAX_MARKS, MAX_RULES, MAX_TENANTS, Settings, Tenant};
 
-/// Checks that settings have no more entries than they may, and an audience if there are issuers.
+/// Checks that settings do not exceed the limits, and that they have an audience if there are issuers.
 pub(super) fn check_limits(settings: &Settings) -> Result<(), PolicyError> {
     check_count(EntryKind::Issuers, settings.issuers.len(), MAX_ISSUERS)?;
     check_count(EntryKind::Tenants, settings.tenants.len(), MAX_TENANTS)?;
--- a/crates/identity/src/authority/tokens.rs
+++ b/crates/identity/src/authority/tokens.rs
@@ -1,4 +1,4 @@
-//! The verification of tokens, and the cache of those whose signatures have been verified.
+//! Verifies tokens and caches those whose signatures have been verified.
 
 use super::key_sets::{KeySets, VerifyingKey};
 use super::policy::Policy;
@@ -11,51 +11,51 @@
 use std::num::NonZeroUsize;
 use std::sync::Arc;
 
-/// SHA-256 over a token's text.
+/// The SHA-256 digest of a token's text.
 type TokenDigest = [u8; 32];
 
-/// A token whose signature has been verified: by which key, and what was signed. Whether the key, the claims and the
-/// tenant are still good is decided at each request.
+/// A token whose signature has been verified, with the verifying key and the signed payload. Whether the key, the
+/// claims and the tenant are still valid is checked at each request.
 struct VerifiedToken {
     key: VerifyingKey,
     algorithm: Algorithm,
     issuer: Arc<str>,
     payload: Box<[u8]>,
     validity: Validity,
-    /// The version of the policy by which `caller` was found.
+    /// The version of the policy that `caller` was looked up in.
     version: u64,
     caller: Arc<Caller>,
 }
 
-/// A policy with its version, by which cached callers are recognized as older.
+/// A policy with its version, which shows whether a cached caller is of an earlier policy.
 #[derive(Clone, Copy)]
 pub(super) struct VersionedPolicy<'a> {
     pub(super) policy: &'a Policy,
     pub(super) version: u64,
 }
 
-/// Verifies tokens, and remembers those that it has verified.
+/// Verifies tokens and caches the verified ones.
 pub(super) struct TokenVerifier {
     verified: LruCache<TokenDigest, VerifiedToken>,
 }
 
 impl TokenVerifier {
-    /// Remembers at most `capacity` tokens.
+    /// Creates a verifier that caches at most `capacity` tokens.
     pub(super) fn new(capacity: NonZeroUsize) -> TokenVerifier {
         TokenVerifier { verified: LruCache::new(capacity) }
     }
 
-    /// Remembers at most `capacity` tokens from here on.
+    /// Changes the capacity of the cache; the least recently used tokens above it are evicted.
     pub(super) fn resize(&mut self, capacity: NonZeroUsize) {
         self.verified.resize(capacity);
     }
 
-    /// How many tokens are remembered.
+    /// The number of cached tokens.
     pub(super) fn cached(&self) -> usize {
         self.verified.len()
     }
 
-    /// The caller that a token maps to. `now` is the time to judge by and the monotonic clock.
+    /// Returns the caller that a token maps to. `now` holds the step-tolerant time and the monotonic clock's.
     pub(super) fn identify(
         &mut self,
         token: &str,
@@ -83,7 +83,7 @@
 }
 
 impl VerifiedToken {
-    /// Verifies a token from the beginning.
+    /// Parses a token, verifies its signature and checks its claims.
     fn verify(
         token: &str,
         policy: VersionedPolicy,
@@ -104,7 +104,7 @@
         })
     }
 
-    /// The caller, if the key and the claims are still good.
+    /// Returns the caller if the key and the claims are still valid.
     fn identify_again(
         &mut self,
         policy: VersionedPolicy,
@@ -116,7 +116,7 @@
         key_sets.check_key(issuer, &self.key, now)?;
         self.validity.check(now, policy.settings.leeway)?;
         if self.version != version {
-            // The signature is still good; the policy may map the claims to another caller.
+            // The signature stays valid, but the new policy may map the claims to another caller.
             self.caller = policy.token_caller(&Claims::parse(&self.payload)?, self.algorithm, now)?;
             self.version = version;
         }
--- a/crates/identity/src/lib.rs
+++ b/crates/identity/src/lib.rs
@@ -1,22 +1,22 @@
-//! Caller identity: who calls, for whom, and with which rights, under keys that change in service.
+//! Caller authentication and authorization: the tenant and principal of a request and their rights, with keys and
+//! settings that change at run time.
 //!
-//! Nothing here does I/O, reads a clock, starts a thread or draws a random number: bytes of key sets and
-//! certificates, the time ([`Now`]) and a seed are passed in. [`Authority`] identifies callers by these parts:
+//! Nothing here does I/O, reads a clock, starts a thread or generates a random number: bytes of key sets and
+//! certificates, the time ([`Now`]) and a seed are passed in. [`Authority`] identifies callers with these modules:
 //!
 //! - [`token`]: compact JWS and JWT (RFC 7515, 7519, 8725), parsed strictly;
 //! - [`jwks`]: public keys from JSON Web Key Sets (RFC 7517, 8037);
 //! - [`keyring`]: the life cycle of an issuer's keys;
-//! - `refresh`: when an issuer is asked for its key set;
-//! - [`certificate`]: clients' certificates under roots and revocation lists that change;
-//! - `tenants`: which tenant claims, names in certificates and networks map to;
-//! - [`rights`]: what a tenant may ask for;
-//! - `clock`: the time to judge validity by, where the Unix clock steps.
+//! - `refresh`: the schedule by which an issuer's key set is fetched;
+//! - [`certificate`]: client certificates, verified with roots and revocation lists that change;
+//! - `tenants`: the mapping of claims, certificate names and networks to tenants;
+//! - [`rights`]: the authorization rules of a tenant;
+//! - `clock`: the step-tolerant clock that validity is checked against.
 //!
-//! [`issue`] is the other side, for small installations and tests: keys that sign, and tokens.
+//! [`issue`] generates signing keys and signs tokens, for small installations and tests.
 //!
-//! Of a token or a certificate chain that has been verified, only the fact is cached that its signature is by that key,
-//! never that it is accepted: whether the key, the token and its tenant are still valid, and nothing is revoked, is
-//! decided at each request.
+//! The caches hold only the result of signature verification, never the decision to accept a token or a certificate
+//! chain: validity and revocation of the key, the token and the principal are checked at each request.
 #![warn(missing_docs)]
 
 pub mod authority;
@@ -42,8 +42,8 @@
 pub use settings::Settings;
 pub use tenants::MarkConflict;
 
-/// A point in time or a span in milliseconds; points are on the Unix clock unless they are said not to be.
+/// A point in time or a duration in milliseconds. Points in time are since the Unix epoch unless documented otherwise.
 pub type Millis = u64;
 
-/// The longest name of a key, an issuer or a subject, in bytes.
+/// The maximum length of a key id, an issuer or a subject, in bytes.
 pub const MAX_NAME_BYTES: usize = 256;
