--- a/crates/identity/src/caller.rs
+++ b/crates/identity/src/caller.rs
@@ -1,44 +1,45 @@
-//! Who a request is carried out for, and why one is refused.
+//! The caller of a request, and the reasons for which requests are refused.
 
 use crate::rights::Rights;
 use std::fmt;
 use std::sync::{Arc, OnceLock};
 
-/// What a caller's identity was proved by.
+/// The kind of credentials that a caller was identified by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Proof {
-    /// Nothing: callers are not identified, or the settings name a tenant for requests without credentials.
+    /// No credentials: callers are not identified, or the settings name a tenant for requests without credentials.
     None,
     /// A token.
     Token,
-    /// A client's certificate.
+    /// A client certificate.
     Certificate,
-    /// The address that a DNS query came from.
+    /// The source address of a DNS query.
     Network,
 }
 
-/// A caller, as a request carries it from its arrival to its end.
+/// The identified caller of a request. It does not change while the request is processed.
 #[derive(Clone)]
 pub struct Caller {
     /// The tenant's name.
     pub tenant: Arc<str>,
-    /// The name of the person or program that calls for the tenant.
+    /// The name of the person or program that sends requests for the tenant.
     pub principal: Arc<str>,
-    /// What its identity was proved by.
+    /// The kind of credentials that the caller was identified by.
     pub proof: Proof,
-    /// `None`: callers are not identified, and nothing is forbidden.
+    /// The tenant's rights; `None` if callers are not identified and everything is allowed.
     pub(crate) rights: Option<Arc<Rights>>,
 }
 
 impl Caller {
-    /// The caller of every request where callers are not identified.
+    /// Returns the caller of all requests where callers are not identified.
     pub fn anonymous() -> Arc<Caller> {
         static ANONYMOUS: OnceLock<Arc<Caller>> = OnceLock::new();
-        let make = || Caller { tenant: "-".into(), principal: "-".into(), proof: Proof::None, rights: None };
-        ANONYMOUS.get_or_init(|| Arc::new(make())).clone()
+        let create =
+            || Caller { tenant: "-".into(), principal: "-".into(), proof: Proof::None, rights: None };
+        ANONYMOUS.get_or_init(|| Arc::new(create())).clone()
     }
 
-    /// Whether the caller may ask for an object; where callers are not identified, everyone may ask for all.
+    /// Whether the caller may request an object; everything is allowed where callers are not identified.
     pub fn may(&self, class: &str, method: &str, object: &str) -> bool {
         self.rights.as_ref().is_none_or(|rights| rights.allows(class, method, object))
     }
@@ -56,10 +57,10 @@
     }
 }
 
-/// Declares the reasons with their labels, as logs and counters show them.
+/// Declares the reasons with the labels that logs and counters show.
 macro_rules! reasons {
     ($($(#[$doc:meta])* $name:ident = $label:literal,)*) => {
-        /// Why a request is refused. Clients are told no more than the status.
+        /// Why a request is refused. Clients receive only the status and the error code.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
         pub enum Reason { $($(#[$doc])* $name,)* }
 
@@ -67,7 +68,7 @@
             /// All reasons.
             pub const ALL: &'static [Reason] = &[$(Reason::$name,)*];
 
-            /// A stable label for logs and counters.
+            /// The stable label of the reason in logs and counters.
             pub fn label(self) -> &'static str {
                 match self { $(Reason::$name => $label,)* }
             }
@@ -76,31 +77,31 @@
 }
 
 reasons! {
-    /// The request has no credentials, and some are required.
+    /// The request has no credentials, but credentials are required.
     Missing = "missing",
-    /// Not a compact JWS of a JSON object, or a field is not what it should be.
+    /// The token is not a compact JWS of a JSON object, or a header parameter or claim is invalid.
     Malformed = "malformed",
-    /// The token or certificate chain is larger than may be.
+    /// The token or certificate chain exceeds the size limit.
     TooLarge = "too_large",
-    /// The algorithm is not the key's own or not one that the issuer may use.
+    /// The algorithm is unsupported, is not the key's own, or is not allowed for the issuer.
     Algorithm = "algorithm",
-    /// The header has critical parameters, and none is understood.
+    /// The header has critical parameters, none of which are supported.
     Critical = "critical",
-    /// The type says that it is something else than an access token.
+    /// The `typ` header is not that of an access token.
     Type = "type",
     /// The issuer is not in the settings.
     IssuerUnknown = "issuer_unknown",
-    /// The issuer's key set is older than the settings allow.
+    /// The issuer's last key set is older than the settings allow.
     IssuerStale = "issuer_stale",
-    /// No key of the name that the token states is known.
+    /// The token's key id is unknown.
     KeyUnknown = "key_unknown",
-    /// The key is announced, and not active yet.
+    /// The key is announced but not active yet.
     KeyNotActive = "key_not_active",
-    /// The key's end has come.
+    /// The key is retired.
     KeyRetired = "key_retired",
     /// The issuer or the operators have revoked the key.
     KeyRevoked = "key_revoked",
-    /// The signature is not by the key.
+    /// The signature does not verify with the key.
     Signature = "signature",
     /// The token is not for one of the gateway's audiences.
     Audience = "audience",
@@ -108,15 +109,15 @@
     Expired = "expired",
     /// The token or certificate is not valid yet.
     NotYetValid = "not_yet_valid",
-    /// The token says that it was issued later than now.
+    /// The token's issue time is in the future.
     IssuedInFuture = "issued_in_future",
-    /// The token is valid for longer than the issuer's tokens may be.
+    /// The token's validity period is longer than the settings allow for the issuer.
     TooLong = "too_long",
-    /// The credentials are valid, and map to no tenant.
+    /// The credentials are valid but map to no tenant.
     NoTenant = "no_tenant",
     /// The operators have revoked the token or the principal.
     Revoked = "revoked",
-    /// The certificate chain does not lead to a root, or there are no roots.
+    /// The certificate chain does not lead to a trusted root, or no roots are set.
     CertificateUntrusted = "certificate_untrusted",
     /// The certificate has expired.
     CertificateExpired = "certificate_expired",
@@ -124,14 +125,14 @@
     CertificateRevoked = "certificate_revoked",
     /// The names in the certificate map to more than one tenant.
     CertificateNames = "certificate_names",
-    /// The caller may not ask for the object, or the operator may not do this.
+    /// The caller may not request the object, or the operator may not perform the action.
     RightMissing = "right_missing",
-    /// The operators' file can't be used, so that no caller can be identified.
+    /// The operators' file is unusable, so that no caller can be identified.
     Sealed = "sealed",
 }
 
 impl Reason {
-    /// The HTTP status of the answer (RFC 9110).
+    /// The HTTP status of the response (RFC 9110).
     pub fn status(self) -> u16 {
         match self {
             Reason::RightMissing | Reason::NoTenant => 403,
@@ -140,7 +141,8 @@
         }
     }
 
-    /// The error code of RFC 6750, section 3.1; `None` for requests without credentials.
+    /// The error code of RFC 6750, section 3.1; `None` if the request has no credentials or no caller can be
+    /// identified.
     pub fn error(self) -> Option<&'static str> {
         match self {
             Reason::Missing | Reason::Sealed => None,
--- a/crates/identity/src/tenants.rs
+++ b/crates/identity/src/tenants.rs
@@ -1,4 +1,4 @@
-//! Which tenant or operator a token's claims, the names in a certificate, or a network map to.
+//! The mapping of token claims, certificate names and networks to tenants or operators.
 
 use crate::settings::{CertificateMark, Settings, TokenMark};
 use crate::token::Claims;
@@ -9,13 +9,13 @@
 use std::net::IpAddr;
 use thiserror::Error;
 
-/// The place of a tenant or an operator in the settings.
+/// The index of a tenant or an operator in the settings.
 pub type EntryIndex = usize;
 
-/// Marks of tokens and certificates, and the entries that state them.
+/// The index from marks of tokens and certificates to the entries that state them.
 #[derive(Debug, Default)]
 pub struct MarkIndex {
-    /// By issuer.
+    /// The marks of tokens by issuer.
     tokens: HashMap<String, IssuerMarkIndex>,
     uris: HashMap<String, EntryIndex>,
     names: HashMap<String, EntryIndex>,
@@ -24,24 +24,24 @@
 /// The marks of one issuer's tokens.
 #[derive(Debug, Default)]
 struct IssuerMarkIndex {
-    /// By the claim's name and value.
+    /// The entries by the claim's name and value.
     claims: HashMap<String, HashMap<String, EntryIndex>>,
-    /// The entry of tokens that no claim assigns to another.
-    rest: Option<EntryIndex>,
+    /// The entry of tokens whose claims match no other entry.
+    default_entry: Option<EntryIndex>,
 }
 
 /// Two tenants, or two operators, state the same mark or network.
 #[derive(Debug, Error)]
 pub enum MarkConflict {
-    /// Tokens of an issuer.
+    /// The tokens of an issuer, or those of them with a claim.
     #[error("tokens of {issuer:?}{} are another's already", claim_text(.claim.as_ref()))]
     Token {
         /// The issuer.
         issuer: String,
-        /// The claim and its value; `None`: all tokens of the issuer.
+        /// The claim and its value; `None` for all tokens of the issuer.
         claim: Option<(String, String)>,
     },
-    /// Certificates with a name.
+    /// The certificates with a name.
     #[error("{0:?} is another's already")]
     Certificate(CertificateMark),
     /// A network of resolvers.
@@ -60,17 +60,17 @@
     None,
     /// One entry.
     One(EntryIndex),
-    /// Several entries, so that it is ambiguous who calls.
+    /// Several entries, so that the caller is ambiguous.
     Several,
 }
 
 impl Match {
-    /// This match, with one more that was found.
+    /// Adds the entry that was found, if any, to this match.
     fn with(self, index: Option<EntryIndex>) -> Match {
         match (self, index) {
             (found, None) => found,
             (Match::None, Some(index)) => Match::One(index),
-            (Match::One(held), Some(index)) if held == index => self,
+            (Match::One(first), Some(index)) if first == index => self,
             _ => Match::Several,
         }
     }
@@ -90,13 +90,13 @@
     ) -> Result<(), MarkConflict> {
         for mark in tokens {
             let issuer = self.tokens.entry(mark.issuer.clone()).or_default();
-            let before = match &mark.claim {
-                None => issuer.rest.replace(index),
+            let previous = match &mark.claim {
+                None => issuer.default_entry.replace(index),
                 Some((claim, value)) => {
                     issuer.claims.entry(claim.clone()).or_default().insert(value.clone(), index)
                 }
             };
-            if before.is_some_and(|before| before != index) {
+            if previous.is_some_and(|previous| previous != index) {
                 let (issuer, claim) = (mark.issuer.clone(), mark.claim.clone());
                 return Err(MarkConflict::Token { issuer, claim });
             }
@@ -106,21 +106,21 @@
                 CertificateMark::Uri(uri) => (&mut self.uris, uri.clone()),
                 CertificateMark::Dns(name) => (&mut self.names, name.to_ascii_lowercase()),
             };
-            if map.insert(name, index).is_some_and(|before| before != index) {
+            if map.insert(name, index).is_some_and(|previous| previous != index) {
                 return Err(MarkConflict::Certificate(mark.clone()));
             }
         }
         Ok(())
     }
 
-    /// The entries that a token's claims match; if none does, the entry of all of the issuer's tokens.
+    /// Returns the entries that a token's claims match, or the issuer's default entry if they match none.
     pub fn token(&self, claims: &Claims) -> Match {
         let Some(issuer) = self.tokens.get(&claims.iss) else { return Match::None };
         let mut found = Match::None;
         for (claim, values) in &issuer.claims {
             match claims.all.get(claim) {
                 Some(Value::String(value)) => found = found.with(values.get(value).copied()),
-                // One value of a list is enough, as with groups.
+                // One matching value of a list is sufficient, as for group memberships.
                 Some(Value::Array(list)) => {
                     for value in list.iter().filter_map(Value::as_str) {
                         found = found.with(values.get(value).copied());
@@ -129,10 +129,10 @@
                 _ => {}
             }
         }
-        if found == Match::None { found.with(issuer.rest) } else { found }
+        if found == Match::None { found.with(issuer.default_entry) } else { found }
     }
 
-    /// The entries that a certificate's names match.
+    /// Returns the entries that a certificate's names match.
     pub fn certificate(&self, uris: &[String], names: &[String]) -> Match {
         let mut found = Match::None;
         for uri in uris {
@@ -140,21 +140,21 @@
         }
         for name in names {
             let name = name.to_ascii_lowercase();
-            let below = || Some(format!("*.{}", name.split_once('.')?.1));
+            let wildcard = || Some(format!("*.{}", name.split_once('.')?.1));
             let index = self.names.get(&name).copied();
-            found = found.with(index.or_else(|| self.names.get(&below()?).copied()));
+            found = found.with(index.or_else(|| self.names.get(&wildcard()?).copied()));
         }
         found
     }
 
-    /// The entry of the URI, or of the longest path above it.
+    /// Returns the entry of the URI, or that of its longest parent path.
     fn uri(&self, uri: &str) -> Option<EntryIndex> {
-        let under = uri.rmatch_indices('/').map(|(at, _)| &uri[..=at]);
-        std::iter::once(uri).chain(under).find_map(|path| self.uris.get(path)).copied()
+        let parents = uri.rmatch_indices('/').map(|(slash, _)| &uri[..=slash]);
+        std::iter::once(uri).chain(parents).find_map(|path| self.uris.get(path)).copied()
     }
 }
 
-/// Networks of resolvers, and the tenants that state them.
+/// The index from networks of resolvers to the tenants that state them.
 #[derive(Default)]
 pub struct NetworkIndex {
     v4: PrefixMap<Ipv4Net, EntryIndex>,
@@ -162,7 +162,7 @@
 }
 
 impl NetworkIndex {
-    /// Collects the networks of all tenants.
+    /// Indexes the networks of all tenants.
     ///
     /// # Errors
     ///
@@ -171,11 +171,11 @@
         let mut networks = NetworkIndex::default();
         for (index, tenant) in settings.tenants.iter().enumerate() {
             for net in &tenant.networks {
-                let before = match net.trunc() {
+                let previous = match net.trunc() {
                     IpNet::V4(net) => networks.v4.insert(net, index),
                     IpNet::V6(net) => networks.v6.insert(net, index),
                 };
-                if before.is_some_and(|before| before != index) {
+                if previous.is_some_and(|previous| previous != index) {
                     return Err(MarkConflict::Network(*net));
                 }
             }
@@ -183,8 +183,8 @@
         Ok(networks)
     }
 
-    /// The tenant of the longest prefix that has the address. An IPv4-mapped IPv6 address (RFC 4291, section 2.5.5.2)
-    /// counts as the IPv4 address.
+    /// Returns the tenant of the longest prefix that contains the address. An IPv4-mapped IPv6 address (RFC 4291,
+    /// section 2.5.5.2) is looked up as the IPv4 address.
     pub fn longest_match(&self, from: IpAddr) -> Option<EntryIndex> {
         match from.to_canonical() {
             IpAddr::V4(ip) => self.v4.get_lpm(&ip.into()).map(|(_, index)| *index),
