--- a/crates/identity/src/jwks.rs
+++ b/crates/identity/src/jwks.rs
@@ -1,9 +1,8 @@
-//! Public keys, as issuers publish them: JSON Web Key Sets (RFC 7517), with Ed25519 by RFC 8037, and P-256 and RSA
-//! by RFC 7518.
+//! JSON Web Key Sets (RFC 7517) with the public keys of issuers: Ed25519 (RFC 8037), P-256 and RSA (RFC 7518).
 //!
-//! A set is accepted as a whole or not at all. Keys of kinds that are not used here are ignored, as RFC 7517 (section 5)
-//! asks; a key that looks usable and is not has the whole set rejected, as does one that is published with its private
-//! key.
+//! A set is accepted completely or not at all. Keys of unsupported types or for other uses are ignored, as RFC 7517
+//! (section 5) requires. An invalid key of a supported type, or one that is published with its private key, makes the
+//! complete set rejected.
 
 mod error;
 
@@ -20,21 +19,21 @@
 use serde_json::{Map, Value};
 use std::fmt;
 
-/// The largest set, in bytes.
+/// The maximum size of a set in bytes.
 pub const MAX_KEY_SET_BYTES: usize = 256 * 1024;
-/// The most keys of a set, those included that are ignored.
+/// The maximum number of keys in a set, including ignored ones.
 pub const MAX_KEYS: usize = 256;
-const LIMITS: Limits = Limits { bytes: MAX_KEY_SET_BYTES, depth: 6, entries: MAX_KEYS };
-/// The lengths of RSA moduli: 2,048 to 8,192 bits.
+const KEY_SET_LIMITS: Limits = Limits { bytes: MAX_KEY_SET_BYTES, depth: 6, entries: MAX_KEYS };
+/// The accepted lengths of RSA moduli in bytes: 2,048 to 8,192 bits.
 const RSA_MODULUS_BYTES: std::ops::RangeInclusive<usize> = 256..=1024;
 /// The first byte of a point in uncompressed form (SEC 1, section 2.3.3).
 const UNCOMPRESSED_POINT: u8 = 4;
-/// Members that only a private key has.
+/// Members that only private keys have.
 const PRIVATE_MEMBERS: [&str; 3] = ["d", "p", "q"];
-/// Times from this many seconds on are no times.
-const LAST_SECOND: f64 = 1e12;
+/// Times in seconds since the Unix epoch must be below this.
+const TIME_LIMIT_SECONDS: f64 = 1e12;
 
-/// SHA-256 over a key's own members (RFC 7638).
+/// The SHA-256 thumbprint of a key (RFC 7638).
 pub type Thumbprint = [u8; 32];
 
 /// A signature algorithm (RFC 7518, section 3.1, and RFC 8037).
@@ -49,7 +48,7 @@
 }
 
 impl Algorithm {
-    /// The algorithm of an `alg` member; `None`: it is not supported.
+    /// Returns the algorithm with this name in an `alg` member; `None` if it is not supported.
     pub fn of(name: &str) -> Option<Algorithm> {
         match name {
             "EdDSA" | "Ed25519" => Some(Algorithm::EdDsa),
@@ -69,21 +68,21 @@
     }
 }
 
-/// The public key itself.
+/// The public key in the form that signature verification requires.
 #[derive(Clone, PartialEq)]
 enum KeyMaterial {
     Point(Vec<u8>),
     Rsa { n: Vec<u8>, e: Vec<u8> },
 }
 
-/// A key that verifies signatures.
+/// A public key that verifies signatures.
 #[derive(Clone, PartialEq)]
 pub struct PublicKey {
-    /// Its name: the `kid` that it is published with, or its thumbprint.
+    /// The key id: the `kid` that the key is published with, or its thumbprint in base64url.
     pub kid: String,
-    /// The algorithm that it verifies.
+    /// The only algorithm that the key verifies.
     pub algorithm: Algorithm,
-    /// Two keys are the same if this is.
+    /// The key's thumbprint. Keys with equal thumbprints are the same key.
     pub thumbprint: Thumbprint,
     material: KeyMaterial,
 }
@@ -95,7 +94,7 @@
 }
 
 impl PublicKey {
-    /// Whether the signature is by this key, with the key's own algorithm.
+    /// Whether this key, with its own algorithm, verifies the signature `signed` of `input`.
     pub fn verifies(&self, input: &[u8], signed: &[u8]) -> bool {
         let verified = match (&self.material, self.algorithm) {
             (KeyMaterial::Point(point), Algorithm::EdDsa) => {
@@ -112,40 +111,40 @@
     }
 }
 
-/// A key of a set, with the members that `OpenID` Federation 1.0, section 8.7, defines for its validity.
+/// A key of a set, with the validity members of `OpenID` Federation 1.0, section 8.7.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PublishedKey {
-    /// The key.
+    /// The public key.
     pub key: PublicKey,
-    /// From when it signs, in milliseconds since the Unix epoch.
+    /// The time from which the key signs, in milliseconds since the Unix epoch.
     pub nbf: Option<Millis>,
-    /// Until when it is accepted, in milliseconds since the Unix epoch.
+    /// The time until which the key is accepted, in milliseconds since the Unix epoch.
     pub exp: Option<Millis>,
-    /// Whether it has been revoked.
+    /// Whether the issuer has revoked the key.
     pub revoked: bool,
 }
 
-/// A key set.
+/// A parsed key set.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct KeySet {
-    /// Keys that verify tokens.
+    /// The keys that verify tokens.
     pub keys: Vec<PublishedKey>,
-    /// How many keys are of other kinds, or for other uses.
+    /// The number of ignored keys, of unsupported types or for other uses.
     pub ignored: usize,
 }
 
-/// A member that is a text.
+/// Returns a member that must be a string.
 fn text<'a>(jwk: &'a Map<String, Value>, member: &'static str) -> Result<&'a str, KeyError> {
     jwk.get(member).and_then(Value::as_str).ok_or(KeyError::NotText(member))
 }
 
-/// A member that is base64url.
+/// Decodes a member that must be base64url.
 fn bytes(jwk: &Map<String, Value>, member: &'static str) -> Result<Vec<u8>, KeyError> {
     let text = text(jwk, member)?;
     BASE64_URL_SAFE_NO_PAD.decode(text).map_err(|source| KeyError::NotBase64Url { member, source })
 }
 
-/// A coordinate of a point on Ed25519's curve or P-256.
+/// Decodes a coordinate of a point on Ed25519's curve or P-256.
 fn coordinate(jwk: &Map<String, Value>, member: &'static str) -> Result<Vec<u8>, KeyError> {
     let value = bytes(jwk, member)?;
     match value.len() {
@@ -154,30 +153,30 @@
     }
 }
 
-/// A member that is a time, in milliseconds since the Unix epoch.
+/// Converts a member in seconds since the Unix epoch, if present, to milliseconds.
 fn date(jwk: &Map<String, Value>, member: &'static str) -> Result<Option<Millis>, KeyError> {
     let Some(value) = jwk.get(member) else { return Ok(None) };
-    let seconds = value.as_f64().filter(|seconds| (0.0..LAST_SECOND).contains(seconds));
+    let seconds = value.as_f64().filter(|seconds| (0.0..TIME_LIMIT_SECONDS).contains(seconds));
     seconds.map(|seconds| Some((seconds * 1e3) as Millis)).ok_or(KeyError::NotATime(member))
 }
 
-/// The members that make a thumbprint, in their order (RFC 7638, section 3.2).
+/// Computes the thumbprint of the required members, which must be in lexicographic order (RFC 7638, section 3.2).
 fn thumbprint(members: &[(&str, &str)]) -> Thumbprint {
     let inner: Vec<String> = members.iter().map(|(name, value)| format!("\"{name}\":\"{value}\"")).collect();
     let hash = digest::digest(&digest::SHA256, format!("{{{}}}", inner.join(",")).as_bytes());
     hash.as_ref().try_into().unwrap_or_default()
 }
 
-/// The algorithm that a key verifies signatures with; `None`: it is not one to verify tokens with.
+/// Returns the algorithm that a key verifies signatures with; `None` if the key is not for verifying tokens.
 fn verifying_algorithm(jwk: &Map<String, Value>) -> Result<Option<Algorithm>, KeyError> {
-    let kind = text(jwk, "kty")?;
+    let key_type = text(jwk, "kty")?;
     let for_signatures = jwk.get("use").is_none_or(|usage| usage == "sig");
     let verifies = match jwk.get("key_ops") {
         Some(Value::Array(list)) => list.iter().any(|operation| operation == "verify"),
         Some(_) => return Err(KeyError::KeyOperations),
         None => true,
     };
-    let algorithm = match (kind, curve(jwk)) {
+    let algorithm = match (key_type, curve(jwk)) {
         ("OKP", "Ed25519") => Algorithm::EdDsa,
         ("EC", "P-256") => Algorithm::Es256,
         ("RSA", _) => Algorithm::Rs256,
@@ -186,11 +185,11 @@
     if !for_signatures || !verifies {
         return Ok(None);
     }
-    // An issuer's mistake, but one after which its tokens prove nothing.
+    // The issuer has disclosed its private key, so its tokens can't be trusted.
     if PRIVATE_MEMBERS.iter().any(|member| jwk.contains_key(*member)) {
         return Err(KeyError::PrivateKey);
     }
-    // The key's own algorithm, where it is stated: RSA keys for another padding are no keys for this one.
+    // A key whose `alg` states another algorithm, such as RSA with another padding, is ignored.
     if let Some(stated) = jwk.get("alg") {
         let stated = stated.as_str().ok_or(KeyError::NotText("alg"))?;
         if Algorithm::of(stated) != Some(algorithm) {
@@ -204,17 +203,17 @@
     jwk.get("crv").and_then(Value::as_str).unwrap_or_default()
 }
 
-/// The key itself, with its thumbprint.
+/// Decodes the public key and computes its thumbprint.
 fn material(jwk: &Map<String, Value>, algorithm: Algorithm) -> Result<(KeyMaterial, Thumbprint), KeyError> {
-    let (kind, curve) = (text(jwk, "kty")?, curve(jwk));
+    let (key_type, curve) = (text(jwk, "kty")?, curve(jwk));
     match algorithm {
         Algorithm::EdDsa => {
-            let members = [("crv", curve), ("kty", kind), ("x", text(jwk, "x")?)];
+            let members = [("crv", curve), ("kty", key_type), ("x", text(jwk, "x")?)];
             Ok((KeyMaterial::Point(coordinate(jwk, "x")?), thumbprint(&members)))
         }
         Algorithm::Es256 => {
             let (x, y) = (coordinate(jwk, "x")?, coordinate(jwk, "y")?);
-            let members = [("crv", curve), ("kty", kind), ("x", text(jwk, "x")?), ("y", text(jwk, "y")?)];
+            let members = [("crv", curve), ("kty", key_type), ("x", text(jwk, "x")?), ("y", text(jwk, "y")?)];
             let point = [&[UNCOMPRESSED_POINT][..], &x, &y].concat();
             Ok((KeyMaterial::Point(point), thumbprint(&members)))
         }
@@ -223,13 +222,13 @@
             if !RSA_MODULUS_BYTES.contains(&n.len()) {
                 return Err(KeyError::ModulusLength { bits: n.len() * 8 });
             }
-            let members = [("e", text(jwk, "e")?), ("kty", kind), ("n", text(jwk, "n")?)];
+            let members = [("e", text(jwk, "e")?), ("kty", key_type), ("n", text(jwk, "n")?)];
             Ok((KeyMaterial::Rsa { n, e }, thumbprint(&members)))
         }
     }
 }
 
-/// One key; `None`: it is not one to verify tokens with.
+/// Parses one key; `None` if it is not for verifying tokens.
 fn parse_key(jwk: &Map<String, Value>) -> Result<Option<PublishedKey>, KeyError> {
     let Some(algorithm) = verifying_algorithm(jwk)? else { return Ok(None) };
     let (material, thumbprint) = material(jwk, algorithm)?;
@@ -245,32 +244,32 @@
 }
 
 impl KeySet {
-    /// Reads a set.
+    /// Parses a set.
     ///
     /// # Errors
     ///
-    /// The set is not JSON within its bounds, or one of its keys is faulty or published with its private key.
+    /// The set is not a JSON object within its limits, or one of its keys is invalid or published with its private key.
     pub fn parse(bytes: &[u8]) -> Result<KeySet, KeySetError> {
-        let set = json::parse_object(bytes, LIMITS)?;
+        let set = json::parse_object(bytes, KEY_SET_LIMITS)?;
         let Some(Value::Array(list)) = set.get("keys") else { return Err(KeySetError::NoKeys) };
-        let mut read = KeySet::default();
+        let mut key_set = KeySet::default();
         for (index, jwk) in list.iter().enumerate() {
-            read.add(jwk).map_err(|source| KeySetError::Key { index, source })?;
+            key_set.add(jwk).map_err(|source| KeySetError::Key { index, source })?;
         }
-        Ok(read)
+        Ok(key_set)
     }
 
     fn add(&mut self, jwk: &Value) -> Result<(), KeyError> {
         let jwk = jwk.as_object().ok_or(KeyError::NotAnObject)?;
-        let Some(new) = parse_key(jwk)? else {
+        let Some(published) = parse_key(jwk)? else {
             self.ignored += 1;
             return Ok(());
         };
-        match self.keys.iter().find(|held| held.key.kid == new.key.kid) {
-            None => self.keys.push(new),
-            // The same key twice: once is enough.
-            Some(held) if *held == new => {}
-            // Which of the two a token means is ambiguous.
+        match self.keys.iter().find(|known| known.key.kid == published.key.kid) {
+            None => self.keys.push(published),
+            // A duplicate of the same key is skipped.
+            Some(known) if *known == published => {}
+            // A token with this key id would be ambiguous.
             Some(_) => return Err(KeyError::DuplicateKid),
         }
         Ok(())
--- a/crates/identity/src/keyring/ended.rs
+++ b/crates/identity/src/keyring/ended.rs
@@ -1,9 +1,10 @@
-//! The memory of keys that are never accepted again.
+//! The record of keys that are never accepted again.
 
 use crate::jwks::Thumbprint;
 use std::collections::{HashMap, VecDeque};
 
-/// How many ended keys of one issuer are remembered. The one remembered longest is forgotten first, revoked ones last.
+/// The maximum number of ended keys that are recorded for one issuer. The oldest retired key is evicted first; revoked
+/// keys are evicted only if there are no retired ones.
 pub const MAX_ENDED_KEYS: usize = 4_096;
 
 /// Why a key is never accepted again.
@@ -17,17 +18,17 @@
 #[derive(Debug, Default)]
 pub(super) struct EndedKeys {
     ends: HashMap<Thumbprint, KeyEnd>,
-    /// From the one remembered longest on.
+    /// The recorded keys, oldest first.
     order: VecDeque<Thumbprint>,
 }
 
 impl EndedKeys {
-    /// How a key has ended; `None`: it has not.
+    /// Returns how a key has ended; `None` if no end is recorded.
     pub(super) fn get(&self, thumbprint: &Thumbprint) -> Option<KeyEnd> {
         self.ends.get(thumbprint).copied()
     }
 
-    /// Ends a key. One that is revoked stays so.
+    /// Records the end of a key. A revoked key stays revoked.
     pub(super) fn insert(&mut self, thumbprint: Thumbprint, end: KeyEnd) {
         let known = self.get(&thumbprint);
         let end = if known == Some(KeyEnd::Revoked) { KeyEnd::Revoked } else { end };
@@ -36,11 +37,11 @@
             self.order.push_back(thumbprint);
         }
         if self.order.len() > MAX_ENDED_KEYS {
-            self.forget_one();
+            self.evict_one();
         }
     }
 
-    fn forget_one(&mut self) {
+    fn evict_one(&mut self) {
         let retired = |thumbprint: &Thumbprint| self.get(thumbprint) == Some(KeyEnd::Retired);
         let index = self.order.iter().position(retired).unwrap_or(0);
         if let Some(thumbprint) = self.order.remove(index) {
@@ -48,7 +49,7 @@
         }
     }
 
-    /// All ended keys, from the one remembered longest on.
+    /// All ended keys, oldest record first.
     pub(super) fn iter(&self) -> impl Iterator<Item = (Thumbprint, KeyEnd)> {
         self.order.iter().filter_map(|thumbprint| Some((*thumbprint, self.get(thumbprint)?)))
     }
--- a/crates/identity/src/keyring/state.rs
+++ b/crates/identity/src/keyring/state.rs
@@ -1,21 +1,21 @@
-//! The states of a key.
+//! The states of a key and their description for reports.
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 
-/// A key's state at a moment. The table in [`crate::keyring`] says what each means.
+/// The state of a key. The table in [`crate::keyring`] describes the states and their transitions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum KeyState {
-    /// Published with a start that is to come.
+    /// The key is published with a start in the future.
     Announced,
-    /// Tokens that it signed are accepted.
+    /// Tokens that the key signed are accepted.
     Active,
-    /// Tokens that it signed are accepted until a known time.
+    /// Tokens that the key signed are accepted until a known time.
     Retiring,
-    /// Its end has come.
+    /// The end of the key's acceptance is reached.
     Retired,
-    /// The issuer or the operators have revoked it.
+    /// The issuer or the operators have revoked the key.
     Revoked,
 }
 
@@ -36,23 +36,24 @@
     }
 }
 
-/// A key and its state, for metrics and people.
+/// A key and its state, for metrics and operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KeyInfo {
-    /// The issuer that published it.
+    /// The issuer that published the key.
     pub issuer: String,
-    /// Its name.
+    /// The key id.
     pub kid: String,
-    /// The name of the algorithm it verifies, as in `alg`.
+    /// The name of the key's algorithm, as in `alg`.
     pub algorithm: String,
-    /// Its thumbprint (RFC 7638) in hex.
+    /// The key's thumbprint (RFC 7638) in hex.
     pub thumbprint: String,
-    /// Its state now.
+    /// The key's current state.
     pub state: KeyState,
-    /// When it was first seen, in milliseconds since the Unix epoch.
+    /// The time at which the key was first seen in a key set, in milliseconds since the Unix epoch.
     pub seen: Millis,
-    /// From when it is active, in milliseconds since the Unix epoch; `None`: since it was published.
+    /// The start of the active state, in milliseconds since the Unix epoch; `None` if the key is active since it was
+    /// published.
     pub from: Option<Millis>,
-    /// Until when it is accepted, in milliseconds since the Unix epoch; `None`: no end is known.
+    /// The end of the key's acceptance, in milliseconds since the Unix epoch; `None` if no end is known.
     pub until: Option<Millis>,
 }
