--- a/crates/identity/src/refresh.rs
+++ b/crates/identity/src/refresh.rs
@@ -1,8 +1,9 @@
-//! When an issuer is asked for its key set.
+//! The schedule of requests for an issuer's key set.
 //!
-//! As a rule this happens at a fixed interval with jitter, so that the gateways of a fleet do not ask all at once. It
-//! happens earlier if a token names an unknown key, and later if the issuer does not answer. There is never more than
-//! one request at a time, and at least the settings' shortest interval between two, however many tokens come.
+//! Requests are usually sent at a fixed interval with jitter, so that the gateways of a fleet do not send them at the
+//! same time. A token with an unknown key makes the next request due earlier; a failed request is retried with
+//! exponential backoff. At most one request is in flight, and the starts of two requests are at least the settings'
+//! minimum interval apart, independently of the number of tokens.
 //!
 //! All times are in milliseconds of the monotonic clock.
 
@@ -11,9 +12,9 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// A request without a result counts as failed after this time.
+/// The time after which a request without a result counts as failed.
 pub const REQUEST_TIMEOUT: Millis = 30_000;
-/// The retry pause doubles this many times at most.
+/// The maximum number of times that the retry delay is doubled.
 const MAX_DOUBLINGS: u32 = 16;
 
 /// The schedule of requests to one issuer.
@@ -21,26 +22,26 @@
 pub struct RefreshSchedule {
     times: Times,
     random: Pcg32,
-    /// When the next request is due.
-    next: Millis,
-    /// When the last request was started.
+    /// The time at which the next request is due.
+    next_due: Millis,
+    /// The time at which the last request was started.
     last_start: Option<Millis>,
     in_flight: bool,
-    /// Failures since the last success.
+    /// The number of failures since the last success.
     failures: u32,
-    /// Tokens with unknown keys that caused no request of their own.
+    /// The number of tokens with unknown keys that caused no additional request.
     pub suppressed: u64,
-    /// Requests that were started.
+    /// The number of requests that were started.
     pub started: u64,
 }
 
 impl RefreshSchedule {
-    /// A schedule whose first request is due at once. `seed` determines the jitter.
+    /// Creates a schedule whose first request is due immediately. `seed` determines the jitter.
     pub fn new(times: Times, seed: u64, now: Millis) -> RefreshSchedule {
         RefreshSchedule {
             times,
             random: Pcg32::seed_from_u64(seed),
-            next: now,
+            next_due: now,
             last_start: None,
             in_flight: false,
             failures: 0,
@@ -49,40 +50,40 @@
         }
     }
 
-    /// Changes the intervals, from the next request on.
+    /// Changes the intervals. The request that is already scheduled stays due at its time.
     pub fn set_times(&mut self, times: Times) {
         self.times = times;
     }
 
-    /// A random span from four fifths to six fifths of `span`.
-    fn with_jitter(&mut self, span: Millis) -> Millis {
-        span * 4 / 5 + self.random.random_range(0..=span * 2 / 5)
+    /// Returns a random duration from 80% to 120% of `duration`.
+    fn with_jitter(&mut self, duration: Millis) -> Millis {
+        duration * 4 / 5 + self.random.random_range(0..=duration * 2 / 5)
     }
 
-    /// The earliest start of the next request.
+    /// The earliest time at which the next request may start.
     fn earliest_start(&self) -> Millis {
         self.last_start.map_or(0, |start| start + self.times.interval)
     }
 
-    /// A token names an unknown key: the next request comes as soon as it may. It is delayed by up to a tenth of the
-    /// shortest interval at random, because the whole fleet sees such tokens at once.
+    /// Makes the next request due as early as allowed, because a token names an unknown key. A random delay of up to a
+    /// tenth of the minimum interval is added, because all gateways of the fleet receive such tokens at the same time.
     pub fn request_early(&mut self, now: Millis) {
         let earliest = now.max(self.earliest_start());
         let max_delay = self.times.interval / 10;
-        if self.in_flight || self.next <= earliest + max_delay {
+        if self.in_flight || self.next_due <= earliest + max_delay {
             self.suppressed += 1;
             return;
         }
-        self.next = earliest + self.random.random_range(0..=max_delay);
+        self.next_due = earliest + self.random.random_range(0..=max_delay);
     }
 
-    /// Whether a request is to be started now. It counts as started then, and its result is reported by
+    /// Whether a request is due now. If so it is marked as started, and its result must be reported with
     /// [`RefreshSchedule::finish`].
     pub fn start_if_due(&mut self, now: Millis) -> bool {
         if self.in_flight && self.last_start.is_some_and(|start| now >= start + REQUEST_TIMEOUT) {
             self.finish(now, RequestResult::Failed);
         }
-        if self.in_flight || now < self.next.max(self.earliest_start()) {
+        if self.in_flight || now < self.next_due.max(self.earliest_start()) {
             return false;
         }
         self.in_flight = true;
@@ -91,27 +92,28 @@
         true
     }
 
-    /// The request has ended. After a failure the next one follows sooner than usual, with an exponential backoff.
+    /// Records the result of the request in flight. After a failure the next one is due earlier than usual, with
+    /// exponential backoff.
     pub fn finish(&mut self, now: Millis, result: RequestResult) {
         self.in_flight = false;
         self.failures = match result {
             RequestResult::Succeeded => 0,
             RequestResult::Failed => self.failures.saturating_add(1),
         };
-        let pause = match self.failures {
+        let delay = match self.failures {
             0 => self.times.every,
             failures => (self.times.interval << failures.min(MAX_DOUBLINGS)).min(self.times.every),
         };
-        self.next = now + self.with_jitter(pause);
+        self.next_due = now + self.with_jitter(delay);
     }
 }
 
-/// How a request to an issuer ended.
+/// The result of a request to an issuer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestResult {
     /// The issuer's key set has been installed.
     Succeeded,
-    /// There was no answer, or its key set can't be used.
+    /// There was no response, or the key set was rejected.
     Failed,
 }
 
