--- a/crates/identity/src/hex.rs
+++ b/crates/identity/src/hex.rs
@@ -1,8 +1,8 @@
-//! Bytes as hexadecimal text.
+//! Hexadecimal encoding.
 
 use std::fmt::Write;
 
-/// Two lower-case digits for each byte.
+/// Encodes each byte as two lower-case digits.
 pub(crate) fn encode(bytes: &[u8]) -> String {
     bytes.iter().fold(String::with_capacity(2 * bytes.len()), |mut text, byte| {
         // Writing to a string can't fail.
--- a/crates/identity/src/issue.rs
+++ b/crates/identity/src/issue.rs
@@ -1,4 +1,4 @@
-//! Keys that sign, and tokens by them: for small installations, and for tests. A gateway never has one.
+//! Signing keys and the tokens that they sign, for small installations and tests. A gateway never has a signing key.
 
 use crate::jwks::{Algorithm, KeySet, KeySetError};
 use base64::Engine;
@@ -11,13 +11,13 @@
 use serde_json::{Map, Value, json};
 use thiserror::Error;
 
-/// The length of a coordinate on P-256.
+/// The length of a coordinate on P-256, in bytes.
 const COORDINATE_BYTES: usize = 32;
 
-/// Why a key can't be made, read or used.
+/// Why a key can't be generated, parsed or used.
 #[derive(Debug, Error)]
 pub enum SignError {
-    /// RSA keys are not made here.
+    /// RSA keys can't be generated here; they are generated with other tools and read.
     #[error("RSA keys are made elsewhere, and read here")]
     RsaKeyGeneration,
     /// The source of random numbers has failed.
@@ -28,21 +28,21 @@
     InvalidKey {
         /// The algorithm.
         algorithm: Algorithm,
-        /// Why the key is rejected; not a source, because it is no [`std::error::Error`].
+        /// Why the key is rejected. It is not a source because it does not implement [`std::error::Error`].
         cause: KeyRejected,
     },
-    /// The public key of the pair can't be published.
+    /// The public key of the pair can't be published in a key set.
     #[error(transparent)]
     PublicKey(#[from] KeySetError),
-    /// The pair's public key does not verify tokens.
+    /// The public key of the pair is not one that verifies tokens.
     #[error("not a key that verifies")]
     NotVerifying,
-    /// The private key can't sign.
+    /// Signing with the private key failed.
     #[error("the key can't sign")]
     Signing,
 }
 
-/// The key pair itself.
+/// A key pair of one of the supported algorithms.
 enum Pair {
     EdDsa(Ed25519KeyPair),
     Es256(EcdsaKeyPair),
@@ -51,29 +51,29 @@
 
 /// A key pair that signs tokens.
 pub struct Signer {
-    /// Its name.
+    /// The key id.
     pub kid: String,
-    /// The algorithm that it signs with.
+    /// The algorithm that the key signs with.
     pub algorithm: Algorithm,
     pair: Pair,
 }
 
-/// Generates a private key in PKCS #8.
+/// Generates a private key in PKCS #8 form.
 ///
 /// # Errors
 ///
 /// The algorithm is RSA, or the source of random numbers has failed.
 pub fn generate(algorithm: Algorithm, random: &dyn SecureRandom) -> Result<Vec<u8>, SignError> {
-    let made = match algorithm {
+    let document = match algorithm {
         Algorithm::EdDsa => Ed25519KeyPair::generate_pkcs8(random),
         Algorithm::Es256 => EcdsaKeyPair::generate_pkcs8(&ECDSA_P256_SHA256_FIXED_SIGNING, random),
         Algorithm::Rs256 => return Err(SignError::RsaKeyGeneration),
     };
-    made.map(|key| key.as_ref().to_vec()).map_err(|_| SignError::Random)
+    document.map(|key| key.as_ref().to_vec()).map_err(|_| SignError::Random)
 }
 
 impl Signer {
-    /// Reads a private key in PKCS #8. Without a `kid` its name is its thumbprint.
+    /// Parses a private key in PKCS #8 form. Without a `kid` the key id is the key's thumbprint.
     ///
     /// # Errors
     ///
@@ -95,14 +95,14 @@
         let mut signer = Signer { kid: kid.unwrap_or_default(), algorithm, pair };
         if signer.kid.is_empty() {
             let set = json!({"keys": [signer.members()]}).to_string();
-            let read = KeySet::parse(set.as_bytes())?;
-            let published = read.keys.first().ok_or(SignError::NotVerifying)?;
+            let key_set = KeySet::parse(set.as_bytes())?;
+            let published = key_set.keys.first().ok_or(SignError::NotVerifying)?;
             signer.kid.clone_from(&published.key.kid);
         }
         Ok(signer)
     }
 
-    /// The members of a JWK that make the public key.
+    /// The JWK members of the public key, without key id, use and algorithm.
     fn members(&self) -> Map<String, Value> {
         let text = |bytes: &[u8]| Value::String(BASE64_URL_SAFE_NO_PAD.encode(bytes));
         let fields: Vec<(&str, Value)> = match &self.pair {
@@ -114,7 +114,7 @@
                 ]
             }
             Pair::Es256(pair) => {
-                // Uncompressed (SEC 1, section 2.3.3): a 4 and both coordinates.
+                // The uncompressed point (SEC 1, section 2.3.3): the byte 4 and both coordinates.
                 let point = pair.public_key().as_ref();
                 let (x, y) = point[1..].split_at(COORDINATE_BYTES);
                 vec![("kty", json!("EC")), ("crv", json!("P-256")), ("x", text(x)), ("y", text(y))]
@@ -127,11 +127,11 @@
         fields.into_iter().map(|(name, value)| (name.to_string(), value)).collect()
     }
 
-    /// The public key, as it is published in a key set.
+    /// The public key as a JWK for publication in a key set.
     pub fn jwk(&self) -> Map<String, Value> {
         let mut jwk = self.members();
-        let own = [("kid", self.kid.as_str()), ("use", "sig"), ("alg", self.algorithm.name())];
-        jwk.extend(own.map(|(name, value)| (name.to_string(), json!(value))));
+        let metadata = [("kid", self.kid.as_str()), ("use", "sig"), ("alg", self.algorithm.name())];
+        jwk.extend(metadata.map(|(name, value)| (name.to_string(), json!(value))));
         jwk
     }
 
@@ -145,7 +145,7 @@
         self.sign(&header, claims.to_string().as_bytes(), random)
     }
 
-    /// Signs any header and payload as a compact JWS (RFC 7515).
+    /// Signs an arbitrary header and payload as a compact JWS (RFC 7515).
     ///
     /// # Errors
     ///
@@ -165,9 +165,9 @@
                 signed.map_err(|_| SignError::Random)?.as_ref().to_vec()
             }
             Pair::Rs256(pair) => {
-                let mut signed = vec![0; pair.public().modulus_len()];
-                let made = pair.sign(&RSA_PKCS1_SHA256, random, input.as_bytes(), &mut signed);
-                made.map(|()| signed).map_err(|_| SignError::Signing)?
+                let mut signature = vec![0; pair.public().modulus_len()];
+                let result = pair.sign(&RSA_PKCS1_SHA256, random, input.as_bytes(), &mut signature);
+                result.map(|()| signature).map_err(|_| SignError::Signing)?
             }
         };
         Ok(format!("{input}.{}", encode(&signature)))
--- a/crates/identity/src/json.rs
+++ b/crates/identity/src/json.rs
@@ -1,31 +1,31 @@
-//! JSON from untrusted sources, parsed strictly: no member twice (RFC 8725, section 2.4, on parsers that differ), no
-//! deeper and no larger than stated.
+//! A strict parser for JSON from untrusted sources. It rejects duplicate members, which parsers treat differently
+//! (RFC 8725, section 2.4), and documents that exceed limits on size, depth and number of entries.
 
 use serde::de::{self, DeserializeSeed, MapAccess, SeqAccess, Visitor};
 use serde_json::{Map, Value};
 use std::fmt;
 use thiserror::Error;
 
-/// How large a document may be.
+/// The limits on a document.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Bytes in all.
+    /// The maximum size in bytes.
     pub bytes: usize,
-    /// Objects and lists within one another.
+    /// The maximum nesting depth of objects and arrays.
     pub depth: usize,
-    /// Entries of one object or list.
+    /// The maximum number of entries of one object or array.
     pub entries: usize,
 }
 
-/// Why a document is not read. A message names what is wrong and where, and never what the document says there.
+/// Why a document is rejected. Messages state the fault and its position, but never repeat the document's content.
 #[derive(Debug, Error)]
 pub enum JsonError {
-    /// The document is larger than it may be.
+    /// The document exceeds the size limit.
     #[error("{bytes} bytes are over {limit}")]
     TooLarge {
         /// The document's size in bytes.
         bytes: usize,
-        /// The largest size in bytes.
+        /// The maximum size in bytes.
         limit: usize,
     },
     /// The document is not JSON.
@@ -34,19 +34,19 @@
     /// A member appears twice, or the document is nested too deeply or has too many entries.
     #[error(transparent)]
     Structure(serde_json::Error),
-    /// Something follows the first document.
+    /// The document is followed by further data.
     #[error("more than one document at line {} column {}", .0.line(), .0.column())]
     TrailingData(#[source] serde_json::Error),
-    /// The document is JSON, and no object.
+    /// The document is JSON but not an object.
     #[error("not an object")]
     NotAnObject,
 }
 
-/// Reads an object within `limits`.
+/// Parses an object within `limits`.
 ///
 /// # Errors
 ///
-/// The document is larger than `limits` allow, not JSON, not an object, or has a member twice.
+/// The document exceeds `limits`, is not JSON, is not an object, or has a duplicate member.
 pub fn parse_object(bytes: &[u8], limits: Limits) -> Result<Map<String, Value>, JsonError> {
     if bytes.len() > limits.bytes {
         return Err(JsonError::TooLarge { bytes: bytes.len(), limit: limits.bytes });
@@ -54,7 +54,7 @@
     let mut input = serde_json::Deserializer::from_slice(bytes);
     let value = StrictValue { depth: limits.depth, entries: limits.entries }.deserialize(&mut input);
     let value = value.map_err(|error| match error.classify() {
-        // The errors of `StrictValue`, which repeat nothing of the input.
+        // The errors of `StrictValue`, which do not repeat the input.
         serde_json::error::Category::Data => JsonError::Structure(error),
         _ => JsonError::Syntax(error),
     })?;
@@ -65,6 +65,7 @@
     }
 }
 
+/// A deserializer seed for a value, with the limits that remain at its depth.
 #[derive(Clone, Copy)]
 struct StrictValue {
     depth: usize,
@@ -72,7 +73,7 @@
 }
 
 impl StrictValue {
-    fn deeper<E: de::Error>(self) -> Result<StrictValue, E> {
+    fn for_nested_value<E: de::Error>(self) -> Result<StrictValue, E> {
         let depth = self.depth.checked_sub(1).ok_or_else(|| E::custom("nested too deeply"))?;
         Ok(StrictValue { depth, ..self })
     }
@@ -118,7 +119,7 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut input: A) -> Result<Value, A::Error> {
-        let inner = self.deeper()?;
+        let inner = self.for_nested_value()?;
         let mut list = Vec::new();
         while let Some(value) = input.next_element_seed(inner)? {
             if list.len() == self.entries {
@@ -130,7 +131,7 @@
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut input: A) -> Result<Value, A::Error> {
-        let inner = self.deeper()?;
+        let inner = self.for_nested_value()?;
         let mut members = Map::new();
         while let Some(key) = input.next_key::<String>()? {
             if members.len() == self.entries {
--- a/crates/identity/src/settings.rs
+++ b/crates/identity/src/settings.rs
@@ -1,6 +1,6 @@
-//! The settings of identity, as operators state them. Where they are read from is not known here.
+//! The settings of caller identification, independent of the file format that operators write.
 //!
-//! Spans are in milliseconds, and points in time in milliseconds since the Unix epoch.
+//! Durations are in milliseconds, and points in time in milliseconds since the Unix epoch.
 
 use crate::Millis;
 use crate::jwks::Algorithm;
@@ -9,33 +9,34 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// The most issuers.
+/// The maximum number of issuers.
 pub const MAX_ISSUERS: usize = 64;
-/// The most tenants.
+/// The maximum number of tenants.
 pub const MAX_TENANTS: usize = 20_000;
-/// The most rules of one tenant.
+/// The maximum number of rules of one tenant.
 pub const MAX_RULES: usize = 1_000;
-/// The most token claims, certificate names and networks of one tenant together.
+/// The maximum number of token claims, certificate names and networks of one tenant together.
 pub const MAX_MARKS: usize = 1_000;
 
-/// The settings of identity in one version of the operators' file.
+/// The settings of caller identification in one version of the operators' file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
-    /// A token is accepted if it is for one of these.
+    /// The audiences of the gateway; a token is accepted if it is for one of them.
     pub audiences: Vec<String>,
-    /// By how much the clocks of issuers may differ, for the times in tokens. There is no leeway for keys.
+    /// The tolerated difference between the clocks of issuers and gateway for the times in tokens. There is no leeway
+    /// for the times of keys.
     pub leeway: Millis,
-    /// How many verified tokens are remembered at most, and how many certificate chains.
+    /// The maximum number of entries in the cache of verified tokens, and in that of verified certificate chains.
     pub cached: usize,
-    /// The tenant of requests without credentials; `None`: they are refused.
+    /// The tenant of requests without credentials; `None` if they are refused.
     pub anonymous: Option<String>,
-    /// Who signs tokens.
+    /// The issuers of tokens.
     pub issuers: Vec<Issuer>,
-    /// For whom requests come.
+    /// The tenants that requests are made for.
     pub tenants: Vec<Tenant>,
-    /// Who may call the operators' address.
+    /// The operators who may call the operators' address.
     pub operators: Vec<Operator>,
-    /// What is not accepted any more.
+    /// The keys, tokens, principals and certificates that are revoked.
     pub revoked: Revoked,
 }
 
@@ -54,120 +55,121 @@
     }
 }
 
-/// Who signs tokens.
+/// An issuer of tokens.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Issuer {
-    /// The `iss` of its tokens.
+    /// The issuer's name, which is the `iss` claim of its tokens.
     pub name: String,
-    /// The algorithms that its tokens may be signed with.
+    /// The algorithms that the issuer's tokens may be signed with.
     pub algorithms: Vec<Algorithm>,
-    /// Where its keys come from.
+    /// The source of the issuer's key set.
     pub source: Source,
-    /// The claim that names the principal.
+    /// The name of the claim that states the principal.
     pub principal: String,
-    /// For how long one of its tokens may be valid.
+    /// The maximum validity period of a token.
     pub longest: Millis,
-    /// For how long a key is accepted that it publishes no more.
+    /// The time for which a key is accepted after the issuer has stopped publishing it.
     pub retiring: Millis,
-    /// What operators state of single keys, whatever the issuer publishes.
+    /// The operators' terms for single keys, which apply in addition to what the issuer publishes.
     pub keys: Vec<KeyTerms>,
 }
 
-/// Where an issuer's keys come from.
+/// The source of an issuer's key set.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Source {
-    /// A file of this machine, which is read again when it changes. It is never too old.
+    /// A file of this machine, which is read again when it changes. It is never stale.
     File(String),
-    /// A set that comes with the settings, by its name.
+    /// The name of a set that is distributed with the settings.
     Set(String),
-    /// An HTTP server, which is asked again and again.
+    /// An HTTP server, from which the set is fetched repeatedly.
     Url {
-        /// Its address.
+        /// The URL of the key set.
         url: String,
-        /// A file with the roots for an https server's certificate; `None` for plain http.
+        /// The file with the roots that verify an https server's certificate; `None` for plain http.
         roots: Option<String>,
-        /// When it is asked.
+        /// The intervals of the requests.
         times: Times,
     },
 }
 
-/// When an issuer is asked.
+/// The intervals at which an issuer's key set is fetched.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Times {
-    /// The usual time between two requests.
+    /// The usual interval between two requests.
     pub every: Millis,
-    /// The shortest time between two requests, whatever tokens come.
+    /// The minimum interval between two requests, which applies also if tokens name unknown keys.
     pub interval: Millis,
-    /// For how long its keys are accepted after the last set was installed.
+    /// The time for which the issuer's keys are accepted after the last set was installed.
     pub hold: Millis,
 }
 
-/// What operators state of one key of an issuer.
+/// The operators' terms for one key of an issuer.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct KeyTerms {
-    /// The key's name.
+    /// The key id.
     pub kid: String,
-    /// From when it signs.
+    /// The time from which the key signs, in milliseconds since the Unix epoch.
     pub active_from: Option<Millis>,
-    /// Until when it is accepted.
+    /// The time until which the key is accepted, in milliseconds since the Unix epoch.
     pub retired_at: Option<Millis>,
 }
 
-/// For whom requests come.
+/// A tenant that requests are made for.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Its name.
+    /// The tenant's name.
     pub name: String,
-    /// The tokens that map to it.
+    /// The tokens that map to the tenant.
     pub tokens: Vec<TokenMark>,
-    /// The certificates that map to it.
+    /// The certificates that map to the tenant.
     pub certificates: Vec<CertificateMark>,
-    /// The networks of resolvers that ask for it.
+    /// The networks of the resolvers whose DNS queries map to the tenant.
     pub networks: Vec<IpNet>,
-    /// What it may ask for: the first rule that matches decides.
+    /// The tenant's authorization rules, of which the first that matches decides.
     pub rules: Vec<Rule>,
 }
 
-/// Tokens that map to a tenant or an operator: those of an issuer in which a claim has a value, or all others.
+/// The tokens that map to a tenant or an operator: those of an issuer with a certain claim value, or all its other
+/// tokens.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TokenMark {
     /// The issuer's name.
     pub issuer: String,
-    /// The claim and its value; `None`: tokens of this issuer whose claims map to nobody else.
+    /// The claim and its value; `None` for the issuer's tokens whose claims map to no other entry.
     pub claim: Option<(String, String)>,
 }
 
-/// Names in certificates (RFC 5280, subjectAltName) that map to a tenant or an operator.
+/// A name in certificates (RFC 5280, subjectAltName) that maps to a tenant or an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum CertificateMark {
-    /// A URI, or with a slash at its end all URIs under it.
+    /// A URI, or all URIs below it if it ends with a slash.
     Uri(String),
-    /// A DNS name, or `*.` and a domain for the names one label below it.
+    /// A DNS name, or `*.` and a domain for all names one label below the domain.
     Dns(String),
 }
 
-/// Who may call the operators' address.
+/// An operator who may call the operators' address.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Operator {
-    /// Its name.
+    /// The operator's name.
     pub name: String,
-    /// The tokens that map to it.
+    /// The tokens that map to the operator.
     pub tokens: Vec<TokenMark>,
-    /// The certificates that map to it.
+    /// The certificates that map to the operator.
     pub certificates: Vec<CertificateMark>,
-    /// Whether it may change things; one who may not may still read.
+    /// Whether the operator may make changes; every operator may read.
     pub may_change: bool,
 }
 
-/// What is not accepted any more, although it is valid otherwise.
+/// Keys, tokens, principals and certificates that are no longer accepted, although they are otherwise valid.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Revoked {
-    /// Keys, by issuer and kid.
+    /// The revoked keys, by issuer and `kid`.
     pub keys: BTreeSet<(String, String)>,
-    /// Tokens, by issuer and `jti`.
+    /// The revoked tokens, by issuer and `jti`.
     pub tokens: BTreeSet<(String, String)>,
-    /// Principals, by tenant.
+    /// The revoked principals, by tenant and name.
     pub principals: BTreeSet<(String, String)>,
-    /// Certificates, by serial number in lower-case hex.
+    /// The revoked certificates, by serial number in lower-case hex without leading zeros.
     pub serials: BTreeSet<String>,
 }
