--- a/crates/identity/tests/common/mod.rs
+++ b/crates/identity/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! An issuer of the tests' own, and a gateway's settings for it.
+//! Signing keys, tokens and key sets of a test issuer, and settings with that issuer.
 #![allow(dead_code)]
 
 use ring::rand::SystemRandom;
@@ -10,10 +10,12 @@
 use serde_json::{Value, json};
 use std::sync::Arc;
 
+/// The name of the test issuer.
 pub const ISS: &str = "https://issuer.example";
-/// Some day in 2025.
+/// The Unix time in milliseconds at which the tests start, a day in 2025.
 pub const T0: Millis = 1_750_000_000_000;
 
+/// Returns the readings of both clocks this many milliseconds after the start.
 pub fn at(ms: Millis) -> Now {
     Now { unix: T0 + ms, monotonic: 1_000_000 + ms }
 }
@@ -24,12 +26,13 @@
     Signer::read(Some(kid.into()), algorithm, &key, &random).unwrap()
 }
 
-/// Claims of the tenant `payments` for ten minutes.
+/// Claims of the tenant `payments` that are valid for ten minutes.
 pub fn claims() -> Value {
     let now = T0 / 1_000;
     json!({"iss": ISS, "aud": "gateway", "sub": "till-7", "tenant": "payments", "iat": now, "exp": now + 600})
 }
 
+/// Returns [`claims`] with these claims replaced, or removed if they are null.
 pub fn with(change: &Value) -> Value {
     let mut claims = claims();
     for (key, value) in change.as_object().unwrap() {
@@ -49,11 +52,11 @@
     published(&keys.iter().map(|key| (*key, json!({}))).collect::<Vec<_>>()).unwrap()
 }
 
-/// A set with further members of its keys.
+/// Returns a key set with additional members of its keys.
 pub fn published(keys: &[(&Signer, Value)]) -> Result<KeySet, KeySetError> {
-    let jwk = |(key, more): &(&Signer, Value)| {
+    let jwk = |(key, members): &(&Signer, Value)| {
         let mut jwk = key.jwk();
-        jwk.extend(more.as_object().unwrap().clone());
+        jwk.extend(members.as_object().unwrap().clone());
         Value::Object(jwk)
     };
     KeySet::parse(json!({"keys": keys.iter().map(jwk).collect::<Vec<_>>()}).to_string().as_bytes())
@@ -68,7 +71,7 @@
     }
 }
 
-pub fn url(every: Millis, interval: Millis, hold: Millis) -> Source {
+pub fn url_source(every: Millis, interval: Millis, hold: Millis) -> Source {
     Source::Url { url: "http://127.0.0.1:1/".into(), roots: None, times: Times { every, interval, hold } }
 }
 
@@ -113,6 +116,7 @@
     authority
 }
 
+/// Identifies the caller of a token.
 pub fn ask(authority: &mut Authority, token: &str, ms: Millis) -> Result<Arc<Caller>, Reason> {
     authority.identify(Credentials { bearer: Some(token), certificate: None }, at(ms))
 }
--- a/crates/identity/tests/properties.rs
+++ b/crates/identity/tests/properties.rs
@@ -1,4 +1,5 @@
-//! Whatever comes, the parsers neither panic nor grow, and rules decide as a plain reading of them does.
+//! Property tests: the parsers handle arbitrary input without a panic, and compiled rules decide as the rules they are
+//! compiled from.
 
 mod common;
 use common::*;
@@ -9,8 +10,8 @@
 use sagearch_identity::{Presented, Reason};
 use std::sync::LazyLock;
 
-/// A good token and a good set, for changes at random.
-static GOOD: LazyLock<(String, String, KeySet)> = LazyLock::new(|| {
+/// A valid token, and its key set as text and parsed, for random changes.
+static VALID: LazyLock<(String, String, KeySet)> = LazyLock::new(|| {
     let key = signer("k1", Algorithm::EdDsa);
     let set = serde_json::json!({"keys": [key.jwk()]}).to_string();
     (token(&key, &claims()), set, jwks(&[&key]))
@@ -43,20 +44,21 @@
         prop_assert!(KeySet::parse(set.as_bytes()).is_err());
     }
 
-    /// One changed character is enough. In the last one of a part some bits may be spare, and those must be zero.
+    /// A change of one character makes a token invalid, also in the last character of a part, whose unused bits must be
+    /// zero.
     #[test]
-    fn changed_token_is_refused(place in any::<prop::sample::Index>(), to in "[A-Za-z0-9_.=-]") {
-        let (token, _, set) = &*GOOD;
-        let at = place.index(token.len());
+    fn changed_token_is_refused(place in any::<prop::sample::Index>(), replacement in "[A-Za-z0-9_.=-]") {
+        let (token, _, set) = &*VALID;
+        let index = place.index(token.len());
         let mut changed = token.clone();
-        changed.replace_range(at..=at, &to);
+        changed.replace_range(index..=index, &replacement);
         let mut authority = authority(settings(), set);
         prop_assert_eq!(ask(&mut authority, &changed, 0).is_ok(), changed == *token);
     }
 
     #[test]
     fn truncated_key_set_is_rejected(place in any::<prop::sample::Index>()) {
-        let (_, set, _) = &*GOOD;
+        let (_, set, _) = &*VALID;
         prop_assert!(KeySet::parse(&set.as_bytes()[..place.index(set.len())]).is_err());
     }
 
@@ -64,14 +66,15 @@
     fn first_matching_rule_decides(
         rules in rules(), class in "[ab]{0,2}", object in "[ab]{0,3}", method in "GET|PUT|LOOKUP|DELETE|get",
     ) {
-        let fits = |rule: &&Rule| {
+        let matches = |rule: &&Rule| {
             (rule.classes.is_empty() || rule.classes.contains(&class))
-                && Method::of(&method).is_some_and(|m| rule.methods.is_empty() || rule.methods.contains(&m))
+                && Method::of(&method)
+                    .is_some_and(|method| rule.methods.is_empty() || rule.methods.contains(&method))
                 && object.starts_with(&rule.prefix)
         };
-        let want = rules.iter().find(fits).is_some_and(|rule| rule.allow);
+        let expected = rules.iter().find(matches).is_some_and(|rule| rule.allow);
         let rights = Rights::new(&rules, &mut StringInterner::default());
-        prop_assert_eq!(rights.allows(&class, &method, &object), want);
+        prop_assert_eq!(rights.allows(&class, &method, &object), expected);
     }
 }
 
--- a/crates/identity/tests/tokens.rs
+++ b/crates/identity/tests/tokens.rs
@@ -1,4 +1,4 @@
-//! Tokens: the published vectors, and what a token must be to be taken.
+//! Tests of tokens and key sets: the test vectors of the RFCs, and which tokens and sets are accepted.
 
 mod common;
 use common::*;
@@ -13,7 +13,7 @@
 const CLAIMS: &str =
     "eyJpc3MiOiJqb2UiLA0KICJleHAiOjEzMDA4MTkzODAsDQogImh0dHA6Ly9leGFtcGxlLmNvbS9pc19yb290Ijp0cnVlfQ";
 
-/// RFC 7515, appendices A.2 and A.3, and RFC 8037, appendix A.4.
+/// The vectors are from RFC 7515, appendices A.2 and A.3, and RFC 8037, appendix A.4.
 #[rstest]
 #[case::rs256(
     json!({"kty": "RSA", "n": RSA_N, "e": "AQAB"}),
@@ -34,16 +34,16 @@
     let key = &set.keys[0].key;
     assert_eq!(key.algorithm, signed.algorithm);
     assert!(key.verifies(signed.input, &signed.signature));
-    for at in [0, signed.signature.len() - 1] {
-        let mut spoilt = signed.signature.clone();
-        spoilt[at] ^= 1;
-        assert!(!key.verifies(signed.input, &spoilt));
+    for index in [0, signed.signature.len() - 1] {
+        let mut changed = signed.signature.clone();
+        changed[index] ^= 1;
+        assert!(!key.verifies(signed.input, &changed));
     }
     assert!(!key.verifies(&signed.input[1..], &signed.signature));
     assert!(!key.verifies(signed.input, &[]));
 }
 
-/// RFC 8037, appendix A.3.
+/// The vector is from RFC 8037, appendix A.3.
 #[test]
 fn key_without_kid_is_named_by_its_thumbprint() {
     let jwk = json!({"kty": "OKP", "crv": "Ed25519", "x": "11qYAYKxCrfVS_7TyWQHOg7hcvPapiMlrwIaaPcHURo"});
@@ -51,7 +51,8 @@
     assert_eq!(set.keys[0].key.kid, "kPrK_qmxVWaYVA9wwBF6Iuo3vVzz7TxHCTwXBygrS4k");
 }
 
-/// RFC 7515, appendices A.1, A.4 and A.5, and others that must not even be looked at.
+/// The first three tokens have the algorithms of RFC 7515, appendices A.1, A.4 and A.5. All are refused by the parser,
+/// before a key is looked up.
 #[rstest]
 #[case::hs256(&format!("eyJ0eXAiOiJKV1QiLA0KICJhbGciOiJIUzI1NiJ9.{CLAIMS}.dBjftJeZ4CVP-mB92K27uhbUJU1p1r_wW1gFWFOEjXk"), Reason::Algorithm)]
 #[case::es512("eyJhbGciOiJFUzUxMiJ9.UGF5bG9hZA.AdwM", Reason::Algorithm)]
@@ -59,7 +60,7 @@
 #[case::two_parts("eyJhbGciOiJFZERTQSJ9.e30", Reason::Malformed)]
 #[case::four_parts("eyJhbGciOiJFZERTQSJ9.e30.AA.AA", Reason::Malformed)]
 #[case::padded("eyJhbGciOiJFZERTQSJ9.e30=.AA", Reason::Malformed)]
-#[case::bits_left_over("eyJhbGciOiJFZERTQSJ9.e30.AB", Reason::Malformed)]
+#[case::nonzero_trailing_bits("eyJhbGciOiJFZERTQSJ9.e30.AB", Reason::Malformed)]
 #[case::empty("..", Reason::Malformed)]
 #[case::too_long(&"a".repeat(MAX_TOKEN_BYTES + 1), Reason::TooLarge)]
 fn malformed_or_unsupported_token_is_refused(#[case] token: &str, #[case] reason: Reason) {
@@ -70,10 +71,10 @@
 #[case::critical(json!({"alg": "EdDSA", "kid": "k1", "crit": ["exp"], "exp": 1}), Reason::Critical)]
 #[case::empty_critical(json!({"alg": "EdDSA", "kid": "k1", "crit": []}), Reason::Critical)]
 #[case::unencoded(json!({"alg": "EdDSA", "kid": "k1", "b64": false}), Reason::Critical)]
-#[case::other_kind(json!({"alg": "EdDSA", "kid": "k1", "typ": "secevent+jwt"}), Reason::Type)]
+#[case::other_type(json!({"alg": "EdDSA", "kid": "k1", "typ": "secevent+jwt"}), Reason::Type)]
 #[case::kid_is_a_number(json!({"alg": "EdDSA", "kid": 1}), Reason::Malformed)]
-#[case::other_kid(json!({"alg": "EdDSA", "kid": "k9"}), Reason::KeyUnknown)]
-#[case::the_keys_own_algorithm_counts(json!({"alg": "ES256", "kid": "k1"}), Reason::Algorithm)]
+#[case::unknown_kid(json!({"alg": "EdDSA", "kid": "k9"}), Reason::KeyUnknown)]
+#[case::algorithm_of_other_key_type(json!({"alg": "ES256", "kid": "k1"}), Reason::Algorithm)]
 #[case::nested(json!({"alg": "EdDSA", "kid": "k1", "x": {"y": {"z": {}}}}), Reason::Malformed)]
 fn token_with_unsupported_header_is_refused(#[case] header: Value, #[case] reason: Reason) {
     let (key, other) = (signer("k1", Algorithm::EdDsa), signer("k2", Algorithm::EdDsa));
@@ -83,24 +84,24 @@
 }
 
 #[rstest]
-#[case::as_it_should_be(json!({}), 0, None)]
+#[case::valid(json!({}), 0, None)]
 #[case::one_of_two_audiences(json!({"aud": ["other", "gateway"]}), 0, None)]
-#[case::a_list_of_groups(json!({"tenant": ["x", "payments"]}), 0, None)]
-#[case::within_the_leeway(json!({}), 629_999, None)]
-#[case::over(json!({}), 630_000, Some(Reason::Expired))]
-#[case::to_come(json!({"nbf": T0 / 1_000 + 31}), 0, Some(Reason::NotYetValid))]
-#[case::nearly_there(json!({"nbf": T0 / 1_000 + 30}), 0, None)]
-#[case::made_tomorrow(json!({"iat": T0 / 1_000 + 31}), 0, Some(Reason::IssuedInFuture))]
-#[case::for_ever(json!({"exp": T0 / 1_000 + 864_000}), 0, Some(Reason::TooLong))]
-#[case::no_end(json!({"exp": null}), 0, Some(Reason::Malformed))]
-#[case::end_in_words(json!({"exp": "tomorrow"}), 0, Some(Reason::Malformed))]
-#[case::negative_end(json!({"exp": -1}), 0, Some(Reason::Malformed))]
-#[case::for_others(json!({"aud": "other"}), 0, Some(Reason::Audience))]
-#[case::for_nobody(json!({"aud": null}), 0, Some(Reason::Audience))]
-#[case::by_others(json!({"iss": "https://other.example"}), 0, Some(Reason::IssuerUnknown))]
-#[case::by_nobody(json!({"iss": null}), 0, Some(Reason::Malformed))]
-#[case::no_principal(json!({"sub": null}), 0, Some(Reason::Malformed))]
-#[case::no_tenant(json!({"tenant": "nobody"}), 0, Some(Reason::NoTenant))]
+#[case::list_claim(json!({"tenant": ["x", "payments"]}), 0, None)]
+#[case::expired_within_leeway(json!({}), 629_999, None)]
+#[case::expired(json!({}), 630_000, Some(Reason::Expired))]
+#[case::not_yet_valid(json!({"nbf": T0 / 1_000 + 31}), 0, Some(Reason::NotYetValid))]
+#[case::not_yet_valid_within_leeway(json!({"nbf": T0 / 1_000 + 30}), 0, None)]
+#[case::issued_in_future(json!({"iat": T0 / 1_000 + 31}), 0, Some(Reason::IssuedInFuture))]
+#[case::validity_too_long(json!({"exp": T0 / 1_000 + 864_000}), 0, Some(Reason::TooLong))]
+#[case::missing_exp(json!({"exp": null}), 0, Some(Reason::Malformed))]
+#[case::exp_is_text(json!({"exp": "tomorrow"}), 0, Some(Reason::Malformed))]
+#[case::negative_exp(json!({"exp": -1}), 0, Some(Reason::Malformed))]
+#[case::other_audience(json!({"aud": "other"}), 0, Some(Reason::Audience))]
+#[case::missing_audience(json!({"aud": null}), 0, Some(Reason::Audience))]
+#[case::unknown_issuer(json!({"iss": "https://other.example"}), 0, Some(Reason::IssuerUnknown))]
+#[case::missing_issuer(json!({"iss": null}), 0, Some(Reason::Malformed))]
+#[case::missing_principal(json!({"sub": null}), 0, Some(Reason::Malformed))]
+#[case::unknown_tenant(json!({"tenant": "nobody"}), 0, Some(Reason::NoTenant))]
 #[case::two_tenants(json!({"tenant": ["payments", "guides"]}), 0, Some(Reason::NoTenant))]
 fn token_with_claims_is_accepted_or_refused(
     #[case] change: Value,
@@ -111,14 +112,14 @@
         let key = signer("k1", algorithm);
         let mut authority = authority(settings(), &jwks(&[&key]));
         let token = token(&key, &with(&change));
-        // The second time it comes from the cache, if it was taken.
+        // The second time an accepted token is in the cache.
         for _ in 0..2 {
             match (ask(&mut authority, &token, ms), refused) {
                 (Ok(caller), None) => {
                     assert_eq!((&*caller.tenant, &*caller.principal), ("payments", "till-7"));
                     assert_eq!(caller.proof, Proof::Token);
                 }
-                (got, want) => assert_eq!(got.err(), want),
+                (result, expected) => assert_eq!(result.err(), expected),
             }
         }
     }
@@ -128,37 +129,37 @@
 fn token_with_duplicate_claim_is_refused() {
     let key = signer("k1", Algorithm::EdDsa);
     let mut authority = authority(settings(), &jwks(&[&key]));
-    let twice = claims().to_string().replacen('{', "{\"tenant\":\"guides\",", 1);
+    let duplicate = claims().to_string().replacen('{', "{\"tenant\":\"guides\",", 1);
     let header = json!({"alg": "EdDSA", "kid": "k1"});
-    let token = key.sign(&header, twice.as_bytes(), &SystemRandom::new()).unwrap();
+    let token = key.sign(&header, duplicate.as_bytes(), &SystemRandom::new()).unwrap();
     assert_eq!(ask(&mut authority, &token, 0), Err(Reason::Malformed));
 }
 
 #[test]
 fn signature_by_other_key_with_same_kid_is_refused() {
-    let (key, thief) = (signer("k1", Algorithm::EdDsa), signer("k1", Algorithm::EdDsa));
+    let (key, impostor) = (signer("k1", Algorithm::EdDsa), signer("k1", Algorithm::EdDsa));
     let mut authority = authority(settings(), &jwks(&[&key]));
-    assert_eq!(ask(&mut authority, &token(&thief, &claims()), 0), Err(Reason::Signature));
+    assert_eq!(ask(&mut authority, &token(&impostor, &claims()), 0), Err(Reason::Signature));
     assert!(ask(&mut authority, &token(&key, &claims()), 0).is_ok());
 }
 
 #[rstest]
-#[case::cut_off(r#"{"keys":[{"kty":"OKP""#, "not JSON")]
-#[case::doubled(r#"{"keys":[]}{"keys":[]}"#, "more than one document")]
-#[case::twice_keys(r#"{"keys":[],"keys":[]}"#, "a member stands twice")]
-#[case::no_keys("{}", "keys is missing")]
-#[case::no_object(r#"{"keys":[1]}"#, "key 0: not an object")]
-#[case::short(r#"{"keys":[{"kty":"OKP","crv":"Ed25519","x":"AAAA"}]}"#, "key 0: x has 3 bytes")]
-#[case::no_y(
+#[case::truncated(r#"{"keys":[{"kty":"OKP""#, "not JSON")]
+#[case::two_documents(r#"{"keys":[]}{"keys":[]}"#, "more than one document")]
+#[case::duplicate_member(r#"{"keys":[],"keys":[]}"#, "a member stands twice")]
+#[case::missing_keys("{}", "keys is missing")]
+#[case::key_is_not_an_object(r#"{"keys":[1]}"#, "key 0: not an object")]
+#[case::short_coordinate(r#"{"keys":[{"kty":"OKP","crv":"Ed25519","x":"AAAA"}]}"#, "key 0: x has 3 bytes")]
+#[case::missing_coordinate(
     r#"{"keys":[{"kty":"EC","crv":"P-256","x":"f83OJ3D2xF1Bg8vub9tLe1gHMzV76e8Tus9uPHvRVEU"}]}"#,
     "key 0: y is missing"
 )]
-#[case::private(
+#[case::private_key(
     r#"{"keys":[{"kty":"OKP","crv":"Ed25519","d":"x","x":"11qYAYKxCrfVS_7TyWQHOg7hcvPapiMlrwIaaPcHURo"}]}"#,
     "private half"
 )]
-#[case::small_rsa(r#"{"keys":[{"kty":"RSA","n":"ofgW","e":"AQAB"}]}"#, "24 bits")]
-fn key_set_with_a_fault_is_rejected_as_a_whole(#[case] text: &str, #[case] cause: &str) {
+#[case::short_modulus(r#"{"keys":[{"kty":"RSA","n":"ofgW","e":"AQAB"}]}"#, "24 bits")]
+fn key_set_with_invalid_key_is_rejected_completely(#[case] text: &str, #[case] cause: &str) {
     let error = KeySet::parse(text.as_bytes()).unwrap_err();
     assert!(error.to_string().contains(cause), "{error}");
 }
@@ -166,16 +167,16 @@
 #[test]
 fn key_set_with_other_kinds_or_duplicate_kids_keeps_usable_keys() {
     let (one, other) = (signer("k1", Algorithm::EdDsa), signer("k1", Algorithm::EdDsa));
-    let twice = published(&[(&one, json!({})), (&one, json!({}))]).unwrap();
-    assert_eq!(twice.keys.len(), 1, "the same key said twice");
+    let duplicate = published(&[(&one, json!({})), (&one, json!({}))]).unwrap();
+    assert_eq!(duplicate.keys.len(), 1, "duplicate of the same key");
     let error = published(&[(&one, json!({})), (&other, json!({}))]).unwrap_err();
     assert!(error.to_string().contains("key 1: its kid is another key's"), "{error}");
-    let odd =
+    let ignored =
         [json!({"use": "enc"}), json!({"key_ops": ["sign"]}), json!({"alg": "PS256"}), json!({"kty": "oct"})];
-    for more in odd {
-        let set = published(&[(&one, more)]).unwrap();
+    for members in ignored {
+        let set = published(&[(&one, members)]).unwrap();
         assert_eq!((set.keys.len(), set.ignored), (0, 1));
     }
-    let many: Vec<Value> = (0..10_000).map(|at| json!({"kty": "oct", "kid": at.to_string()})).collect();
+    let many: Vec<Value> = (0..10_000).map(|index| json!({"kty": "oct", "kid": index.to_string()})).collect();
     assert!(KeySet::parse(json!({"keys": many}).to_string().as_bytes()).is_err());
 }
