--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -1,5 +1,5 @@
-//! What all coroutines of a gateway share: the broker, the connections of clients and to stores, and the state of the
-//! process. `request` drives one request, `shutdown` ends the process.
+//! The state that all coroutines of a gateway share: the broker, client and store connections, and the state of the
+//! process. `request` serves one request; `shutdown` implements graceful shutdown and draining.
 
 mod connection_counts;
 mod outstanding;
@@ -31,74 +31,74 @@
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock};
 use std::time::{Duration, Instant};
 
-/// One connection to a store for each so many descriptors. Clients have two fifths of the descriptors; the rest is for
-/// the event bus, operators, the worker thread and clients that are rejected.
+/// One store connection is allowed per this many descriptors. Clients get two fifths of the descriptors; the rest is for
+/// the event bus, operators, the worker thread and clients that are being rejected.
 const DESCRIPTORS_PER_STORE_CONNECTION: usize = 3;
 
-/// What all coroutines of a gateway share.
+/// Shared state of all coroutines of a gateway.
 pub struct Core {
     /// The gateway's clock.
     pub clock: Clock,
     broker: Arc<Mutex<Broker<Mailbox>>>,
     pub(super) stores: Arc<Stores<Mailbox>>,
     pub(super) clients: Arc<Clients>,
-    /// The mailboxes of requests whose clients could leave, under numbers of their own: request ids come from outside
-    /// and may repeat.
+    /// Mailboxes of requests whose clients can disconnect, keyed by a locally assigned number: request ids come from
+    /// outside and may repeat.
     waiting_clients: Mutex<HashMap<u64, Mailbox>>,
     next_client_number: AtomicU64,
-    /// Applies events of the feed.
+    /// Applies feed events to the broker.
     events: Arc<BrokerEvents>,
-    /// The start is complete: endpoint lists and stored state are applied, and clients are accepted.
+    /// Whether startup is complete: endpoint lists and stored state are applied, and clients are accepted.
     pub(super) ready: AtomicBool,
-    /// When the process was told to stop; empty: it was not.
+    /// When graceful shutdown began; empty while the process is not stopping.
     pub(super) stopping: OnceLock<Micros>,
-    /// Another process accepts at the same listening socket, or will.
+    /// Whether another process accepts on the same listening socket, or is going to.
     pub(super) socket_shared: bool,
-    /// How many connections to stores this process and the other one of an upgrade may have together.
+    /// The limit of store connections for this process and the other process of an upgrade together.
     max_store_connections: usize,
-    /// Says who calls, and with which rights.
+    /// Authenticates and authorizes callers.
     pub guard: Arc<Guard>,
-    /// During an upgrade another process of this gateway is there.
+    /// Whether another process of this gateway is running, as happens during an upgrade.
     pub(super) has_peer_process: AtomicBool,
-    /// Request ids that came into use and that the other process has not been told of.
+    /// Request ids that came into use and have not been reported to the other process yet.
     pub(super) ids_to_report: Mutex<Vec<u64>>,
-    /// How many requests are open.
+    /// The number of open requests.
     pub(super) open_requests: Arc<AtomicUsize>,
 }
 
-/// The parts that a core is made of.
+/// The components from which a [`Core`] is built.
 pub(super) struct CoreParts {
     /// The gateway's clock.
     pub clock: Clock,
     /// The broker, which timers and the feed use as well.
     pub broker: Arc<Mutex<Broker<Mailbox>>>,
-    /// The version in force.
+    /// Authenticates and authorizes callers under the configuration in force.
     pub guard: Arc<Guard>,
-    /// Applies events of the feed.
+    /// Applies feed events to the broker.
     pub events: Arc<BrokerEvents>,
     /// The table of client connections.
     pub clients: Arc<Clients>,
-    /// How many descriptors the process may use.
+    /// The number of descriptors that the process may use.
     pub sockets: usize,
-    /// The settings of connections to stores.
+    /// The settings for store connections.
     pub connections: ConnectionLimits,
-    /// Another process accepts at the same listening socket.
+    /// Whether another process accepts on the same listening socket.
     pub socket_shared: bool,
 }
 
 impl Core {
-    /// A core without endpoints, which is not ready yet.
+    /// Creates a core that has no endpoints and is not ready yet.
     pub(super) fn new(parts: CoreParts) -> Core {
         let CoreParts { clock, broker, guard, events, clients, sockets, connections, socket_shared } = parts;
-        let gate_broker = broker.clone();
-        let gate = Arc::new(move |planned: &PlannedAttempt| {
+        let admission_broker = broker.clone();
+        let admission_check = Arc::new(move |planned: &PlannedAttempt| {
             let now = clock.now();
-            lock(&gate_broker).may_send(now, planned).then(|| time_left(planned, now))
+            lock(&admission_broker).may_send(now, planned).then(|| remaining_timeout(planned, now))
         });
         Core {
             clock,
             broker,
-            stores: Stores::new(store_limits(connections, sockets), gate),
+            stores: Stores::new(store_limits(connections, sockets), admission_check),
             clients,
             waiting_clients: Mutex::default(),
             next_client_number: AtomicU64::new(0),
@@ -114,23 +114,23 @@
         }
     }
 
-    /// The broker, locked.
+    /// Locks the broker.
     pub fn broker(&self) -> MutexGuard<'_, Broker<Mailbox>> {
         lock(&self.broker)
     }
 
-    /// The settings and names in force. Who takes them goes on with them when others come into force.
+    /// The deployment settings and names in force. The returned value does not change when the configuration is replaced.
     pub fn deployment(&self) -> Arc<Deployment> {
         self.guard.version.snapshot().deployment.clone()
     }
 
-    /// Applies new settings to the connections to stores and to the policies.
+    /// Applies new settings to the store connections and to the broker's policies.
     pub(super) fn retune(&self, deployment: &Deployment, sockets: usize) {
         self.stores.set_limits(store_limits(deployment.names.connections, sockets));
         self.broker().replace_settings(self.clock.now(), deployment.settings.clone());
     }
 
-    /// Why this process is not to get clients now; `None`: it is ready.
+    /// The reason why this process is not ready for clients; `None` if it is ready.
     pub fn not_ready(&self) -> Option<&'static str> {
         if self.stopping.get().is_some() {
             return Some("stopping");
@@ -144,9 +144,9 @@
         self.broker().draining_since().map(|_| "drained")
     }
 
-    /// Has each open request look whether its client is still connected.
-    pub(super) fn request_client_looks(&self) {
-        lock(&self.waiting_clients).values().for_each(Mailbox::request_look);
+    /// Asks each open request to check whether its client is still connected.
+    pub(super) fn request_presence_checks(&self) {
+        lock(&self.waiting_clients).values().for_each(Mailbox::request_presence_check);
     }
 }
 
@@ -159,7 +159,7 @@
         self.events.renew_freshness(lease, revalidations);
     }
 
-    /// Evicts an idle client: without the connection of the feed the gateway learns nothing any more.
+    /// Evicts an idle client to free a descriptor: without its feed connection the gateway receives no events.
     fn out_of_descriptors(&self) {
         self.clients.evict_if_out_of_descriptors();
     }
@@ -172,7 +172,7 @@
 
     fn update_store(&self, line: &Instance, member: &Member) {
         let gone = member.state == MemberState::Gone;
-        self.list(member.id, &line.instance_id, line.host_port.parse().ok(), gone);
+        self.upsert(member.id, &line.instance_id, line.host_port.parse().ok(), gone);
     }
 }
 
@@ -229,7 +229,7 @@
     }
 
     fn remaining_time(&self) -> Micros {
-        self.time_until_end()
+        self.remaining_request_time()
     }
 
     fn connection_draining(&self) -> Option<ConnectionDraining> {
@@ -249,19 +249,19 @@
     }
 }
 
-/// How much of an attempt's timeout is left.
-fn time_left(planned: &PlannedAttempt, now: Micros) -> Duration {
+/// The remaining part of an attempt's timeout.
+fn remaining_timeout(planned: &PlannedAttempt, now: Micros) -> Duration {
     Duration::from_micros((planned.picked + planned.timeout).saturating_sub(now))
 }
 
-/// The limits of connections to stores by the settings and the descriptors of the process.
+/// Derives the limits of store connections from the settings and the number of descriptors.
 fn store_limits(connections: ConnectionLimits, sockets: usize) -> Limits {
     Limits {
-        streams: connections.streams_per_connection,
-        connections: sockets / DESCRIPTORS_PER_STORE_CONNECTION,
-        connect: Duration::from_micros(connections.connect_timeout),
-        // Well before the store closes an idle connection, so that no request crosses with its close.
-        idle: Duration::from_micros(connections.keepalive) * 2 / 3,
+        max_pending: connections.streams_per_connection,
+        max_connections: sockets / DESCRIPTORS_PER_STORE_CONNECTION,
+        connect_timeout: Duration::from_micros(connections.connect_timeout),
+        // Well before the store closes an idle connection, so that no request is sent while the store closes it.
+        idle_timeout: Duration::from_micros(connections.keepalive) * 2 / 3,
     }
 }
 
--- a/src/net/core/request.rs
+++ b/src/net/core/request.rs
@@ -1,5 +1,4 @@
-//! One request from its entry into the broker to its end: its attempts are sent to stores, and what comes of them is
-//! reported.
+//! Runs one request: submits it to the broker, sends its attempts to stores, and reports their outcomes to the broker.
 
 use super::Core;
 use super::outstanding::{OutstandingAttempts, SentAttempt, source_of};
@@ -13,22 +12,22 @@
 use std::ops::ControlFlow;
 use std::sync::Arc;
 
-/// One request while it is served. It runs in the coroutine of its client.
+/// A request that is being served, in the coroutine of its client.
 pub(super) struct RequestRun<'a> {
     pub(super) core: &'a Core,
     pub(super) id: RequestId,
     pub(super) work: &'a Work,
-    /// `None`: nobody is there who could leave, as with a DNS look-up.
+    /// `None` if no client connection can close meanwhile, as for a DNS lookup.
     pub(super) client: Option<&'a dyn Client>,
-    /// Where the broker, its timers and the connections to stores send what concerns this request.
+    /// Receives messages about this request from the broker, its timers and the store connections.
     pub(super) mailbox: &'a Mailbox,
-    /// The receiving side of the mailbox.
+    /// The receiving half of the mailbox.
     pub(super) messages: &'a mpsc::Receiver<Message>,
     pub(super) outstanding: OutstandingAttempts,
 }
 
 impl RequestRun<'_> {
-    /// Serves the request. Returns as soon as its end is known.
+    /// Serves the request, and returns as soon as its end is known.
     pub(super) fn run(mut self, request: Request, caller: &Arc<Caller>) -> RequestEnd {
         let core = self.core;
         let mut verdict = core.broker().pick(core.clock.now(), request, caller.clone(), self.mailbox.clone());
@@ -39,12 +38,12 @@
             }
         };
         let client_waited = !matches!(end, RequestEnd::Gone);
-        self.outstanding.kill_all(client_waited);
+        self.outstanding.withdraw_all(client_waited);
         end
     }
 
-    /// Carries out a verdict, sends the attempt that is due, and waits for the next message. Returns the verdict that
-    /// the message holds or leads to.
+    /// Applies a verdict, sends the attempt that is due, and waits for the next message. Returns the verdict that the
+    /// message carries or results in.
     fn advance(&mut self, verdict: Option<Verdict>) -> ControlFlow<RequestEnd, Option<Verdict>> {
         match verdict {
             Some(Verdict::Attempt(planned)) => self.outstanding.enqueue(planned),
@@ -53,7 +52,7 @@
             None => {}
         }
         if let Some(planned) = self.outstanding.next_due() {
-            self.send_if_client_waits(planned)?;
+            self.send_if_client_connected(planned)?;
         }
         match self.outstanding.receive(self.messages) {
             Some(message) => self.handle_message(message),
@@ -61,13 +60,13 @@
         }
     }
 
-    /// Looks at the client again just before each attempt: it may have left since the last look, or before its request
-    /// was read.
-    fn send_if_client_waits(&mut self, planned: PlannedAttempt) -> ControlFlow<RequestEnd> {
-        match self.look_at_client() {
+    /// Checks the client connection again just before each attempt: the client may have disconnected since the last
+    /// check, or before its request was read.
+    fn send_if_client_connected(&mut self, planned: PlannedAttempt) -> ControlFlow<RequestEnd> {
+        match self.check_client_presence() {
             Presence::Waiting => {
                 let ticket = self.send(&planned);
-                self.outstanding.note_sent(planned, ticket);
+                self.outstanding.record_sent(planned, ticket);
             }
             Presence::Sending => self.outstanding.postpone(planned),
             Presence::Gone => return ControlFlow::Break(self.abandon()),
@@ -80,8 +79,8 @@
             Message::Verdict(verdict) => return ControlFlow::Continue(Some(verdict)),
             Message::Withdraw(attempt) => self.outstanding.withdraw(attempt),
             Message::Reply { attempt, reply } => return self.handle_reply(attempt, reply),
-            Message::Look => {
-                if self.look_at_client() == Presence::Gone {
+            Message::CheckPresence => {
+                if self.check_client_presence() == Presence::Gone {
                     return ControlFlow::Break(self.abandon());
                 }
             }
@@ -89,13 +88,13 @@
         ControlFlow::Continue(None)
     }
 
-    /// Reports the end of an attempt. The reply to an attempt that was withdrawn before is dropped.
+    /// Reports the outcome of an attempt. A reply to an attempt that has been withdrawn is dropped.
     fn handle_reply(&mut self, attempt: u32, reply: Reply) -> ControlFlow<RequestEnd, Option<Verdict>> {
         let Some(SentAttempt { planned, ticket }) = self.outstanding.remove(attempt) else {
             return ControlFlow::Continue(None);
         };
         if reply.end == End::Reset {
-            self.outstanding.hold_for(ticket.kill_delay());
+            self.outstanding.delay_sending_by(ticket.kill_delay());
         }
         match self.report_end(&planned, &reply) {
             NextStep::Done if reply.end == End::Yes => ControlFlow::Break(RequestEnd::Checked(planned)),
@@ -105,16 +104,16 @@
         }
     }
 
-    /// Looks at the client, and notes in the mailbox that it was there.
-    fn look_at_client(&self) -> Presence {
+    /// Checks the client connection, and records in the mailbox when the client was connected.
+    fn check_client_presence(&self) -> Presence {
         let presence = self.client.map_or(Presence::Waiting, Client::presence);
         if presence == Presence::Waiting {
-            self.mailbox.note_client_seen();
+            self.mailbox.record_client_seen();
         }
         presence
     }
 
-    /// Ends the request of a client that has left.
+    /// Abandons the request because its client has disconnected.
     fn abandon(&self) -> RequestEnd {
         self.core.broker().abandon(self.core.clock.now(), self.id);
         RequestEnd::Gone
@@ -138,14 +137,14 @@
         }
     }
 
-    /// Reports the end of an attempt to the broker.
+    /// Reports the outcome of an attempt to the broker.
     fn report_end(&self, planned: &PlannedAttempt, reply: &Reply) -> NextStep {
         let now = self.core.clock.now();
         let outcome = match (self.work, reply.end.outcome()) {
             (Work::Check, Outcome::Checked) => {
                 return self.core.broker().report_health_check_passed(now, planned);
             }
-            // The answer to a pull does not show that a check passed, nor the other way round.
+            // A pull answer does not prove that a health check passed, nor does a health check answer serve a pull.
             (Work::Check, Outcome::Served) | (Work::Pull(_), Outcome::Checked) => Outcome::Failed,
             (_, outcome) => outcome,
         };
--- a/src/net/core/shutdown.rs
+++ b/src/net/core/shutdown.rs
@@ -1,4 +1,4 @@
-//! Shutdown and draining: how long the process stays after SIGTERM, and when client connections are closed meanwhile.
+//! Graceful shutdown and draining: when the process exits after SIGTERM, and when client connections are closed.
 
 use super::Core;
 use crate::interface::Micros;
@@ -6,77 +6,79 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// While operators drain the gateway, idle connections are closed after this. Four seconds after the drain began no client
-/// may have a connection on which it sent a request in the two seconds before.
+/// Idle connections are closed this long after operators begin to drain the gateway. Four seconds after the drain began
+/// no client may have a connection on which it sent a request in the two seconds before.
 const DRAINED_IDLE_GRACE: Duration = Duration::from_secs(1);
-/// While operators drain the gateway, connections without a complete request are closed after this, for the same reason.
+/// Connections without a complete request are closed this long after operators begin to drain the gateway, for the same
+/// reason as [`DRAINED_IDLE_GRACE`].
 const DRAINED_REQUEST_GRACE: Duration = Duration::from_millis(1_700);
-/// The platform kills the process after the longest request wait of the settings, of which it counts this much at most
-/// (in microseconds), and then [`KILL_DELAY`].
-const MAX_REQUEST_WAIT: Micros = 3_000_000;
-/// The platform's allowance beyond the longest request wait, in microseconds.
-const KILL_DELAY: Micros = 700_000;
-/// All requests are answered this many microseconds before the process is killed.
-const ANSWER_MARGIN: Micros = 200_000;
-/// The process exits by itself this many microseconds before it is killed, whatever is still open.
-const EXIT_MARGIN: Micros = 100_000;
-/// Idle connections are shut this many microseconds after SIGTERM, or sooner where the process is killed before that:
-/// clients keep sending for 0.6 s, and are owed an answer to what they send within 0.7 s.
-const IDLE_LINGER: Micros = 1_000_000;
-/// A process that hands over closes idle connections after this. Clients close theirs after 4 s, so that with this grace
-/// no request crosses with a close.
+/// The platform kills the process after the longest request timeout of the settings plus [`KILL_DELAY_MICROS`]. It counts
+/// at most this much of the timeout.
+const MAX_REQUEST_TIMEOUT_MICROS: Micros = 3_000_000;
+/// How long the platform waits beyond the longest request timeout before it kills the process.
+const KILL_DELAY_MICROS: Micros = 700_000;
+/// All requests are answered this long before the process is killed.
+const ANSWER_MARGIN_MICROS: Micros = 200_000;
+/// The process exits this long before it is killed, even with requests or connections open.
+const EXIT_MARGIN_MICROS: Micros = 100_000;
+/// Idle connections are closed this long after SIGTERM, or sooner where the process is killed before that: clients keep
+/// sending for 0.6 s, and must get answers to requests that they send within 0.7 s.
+const IDLE_GRACE_MICROS: Micros = 1_000_000;
+/// A process that hands over closes idle connections after this grace period. Clients close idle connections after 4 s,
+/// so no request is sent while the gateway closes its connection.
 const HANDED_OVER_IDLE_GRACE: Duration = Duration::from_millis(4_200);
-/// A process that hands over shortens that grace so that this many microseconds are left for a last request.
-const LAST_REQUEST_MARGIN: Micros = 1_500_000;
-/// A process that hands over stays at least this many microseconds: a connection that it accepted last may not be in
-/// the table yet.
-const HANDED_OVER_LINGER: Micros = 100_000;
+/// A process that hands over shortens [`HANDED_OVER_IDLE_GRACE`] so that this much time remains for a last request.
+const LAST_REQUEST_MARGIN_MICROS: Micros = 1_500_000;
+/// A process that hands over runs at least this long after SIGTERM: the connection that it accepted last may not be in
+/// the client table yet.
+const HANDED_OVER_MIN_RUNTIME_MICROS: Micros = 100_000;
 
 impl Core {
-    /// How many microseconds after SIGTERM the platform kills the process.
-    fn termination_grace(&self) -> Micros {
-        self.deployment().names.longest_deadline.min(MAX_REQUEST_WAIT) + KILL_DELAY
+    /// The time from SIGTERM until the platform kills the process, in microseconds.
+    fn termination_grace_micros(&self) -> Micros {
+        self.deployment().names.longest_deadline.min(MAX_REQUEST_TIMEOUT_MICROS) + KILL_DELAY_MICROS
     }
 
-    /// How many microseconds after SIGTERM idle connections are left open.
-    fn idle_linger(&self) -> Micros {
-        IDLE_LINGER.min(self.termination_grace() - KILL_DELAY / 2)
+    /// How long idle connections stay open after SIGTERM, in microseconds.
+    fn idle_grace_micros(&self) -> Micros {
+        IDLE_GRACE_MICROS.min(self.termination_grace_micros() - KILL_DELAY_MICROS / 2)
     }
 
-    /// Begins the shutdown. The deadlines of open requests are brought forward to the time that the process has left.
+    /// Begins graceful shutdown. Deadlines of open requests that exceed the shutdown deadline are brought forward to it.
     pub(in crate::net) fn stop(&self) {
         let now = self.clock.now();
         if self.stopping.set(now).is_ok() {
-            self.broker().end_by(now, now + self.termination_grace() - ANSWER_MARGIN);
+            self.broker().end_by(now, now + self.termination_grace_micros() - ANSWER_MARGIN_MICROS);
         }
     }
 
-    /// Whether the process may exit: all requests are answered and the answers have arrived, or there is no time left.
-    /// Where another process takes over, this one accepts nothing more, and waits until all its clients have left.
+    /// Whether the process may exit: all requests are answered and the answers have arrived, or the termination grace
+    /// period is about to expire. If another process takes over, this one accepts no further connections and waits until
+    /// all its clients have disconnected.
     pub(in crate::net) fn is_finished(&self) -> bool {
         let Some(stopped_at) = self.stopping.get() else { return false };
         let elapsed = self.clock.now() - stopped_at;
         let open = self.open_requests.load(Ordering::SeqCst);
-        if elapsed + EXIT_MARGIN >= self.termination_grace() {
+        if elapsed + EXIT_MARGIN_MICROS >= self.termination_grace_micros() {
             log::warn!("ending with {open} requests open and {} clients", self.clients.connected());
             return true;
         }
         if self.socket_shared {
-            return elapsed >= HANDED_OVER_LINGER && open == 0 && self.clients.connected() == 0;
+            return elapsed >= HANDED_OVER_MIN_RUNTIME_MICROS && open == 0 && self.clients.connected() == 0;
         }
-        // The open requests are counted once more: a connection may have taken one while the idle ones were shut.
-        elapsed >= self.idle_linger()
+        // Open requests are counted again: a connection may have received one while the idle connections were closed.
+        elapsed >= self.idle_grace_micros()
             && self.clients.shut_idle() == 0
             && self.open_requests.load(Ordering::SeqCst) == 0
     }
 
-    /// How many microseconds a request may still take; [`Micros::MAX`] before SIGTERM.
-    pub(super) fn time_until_end(&self) -> Micros {
+    /// The remaining time for requests in microseconds; [`Micros::MAX`] before SIGTERM.
+    pub(super) fn remaining_request_time(&self) -> Micros {
         let Some(stopped_at) = self.stopping.get() else { return Micros::MAX };
-        (stopped_at + self.termination_grace()).saturating_sub(self.clock.now() + ANSWER_MARGIN)
+        (stopped_at + self.termination_grace_micros()).saturating_sub(self.clock.now() + ANSWER_MARGIN_MICROS)
     }
 
-    /// The draining of client connections after SIGTERM, or while operators drain the gateway.
+    /// The draining state of client connections after SIGTERM, or while operators drain the gateway; `None` otherwise.
     pub(super) fn draining_state(&self) -> Option<ConnectionDraining> {
         if let Some(stopped_at) = self.stopping.get() {
             let idle_grace = self.shutdown_idle_grace();
@@ -91,13 +93,14 @@
         })
     }
 
-    /// How long after SIGTERM connections without a request stay open.
+    /// How long connections without a request stay open after SIGTERM.
     fn shutdown_idle_grace(&self) -> Duration {
         if !self.socket_shared {
-            return Duration::from_micros(self.idle_linger());
+            return Duration::from_micros(self.idle_grace_micros());
         }
-        let time_left = Duration::from_micros(self.termination_grace().saturating_sub(LAST_REQUEST_MARGIN));
-        HANDED_OVER_IDLE_GRACE.min(time_left)
+        let remaining =
+            Duration::from_micros(self.termination_grace_micros().saturating_sub(LAST_REQUEST_MARGIN_MICROS));
+        HANDED_OVER_IDLE_GRACE.min(remaining)
     }
 
     fn elapsed_since(&self, start: Micros) -> Duration {
--- a/src/net/core/tests.rs
+++ b/src/net/core/tests.rs
@@ -13,23 +13,23 @@
 }
 
 #[test]
-fn queued_attempt_waits_for_the_kill_before_it_and_verdicts_are_received_meanwhile() {
-    let (mail, messages) = mpsc::channel();
-    let (began, waits) = (Instant::now(), Duration::from_millis(40));
-    let mut outstanding = OutstandingAttempts::new(began + waits);
+fn queued_attempt_waits_for_preceding_kill_while_verdicts_are_received() {
+    let (sender, messages) = mpsc::channel();
+    let (started, delay) = (Instant::now(), Duration::from_millis(40));
+    let mut outstanding = OutstandingAttempts::new(started + delay);
     outstanding.enqueue(planned(1));
     assert!(outstanding.next_due().is_none());
     assert!(outstanding.receive(&messages).is_none());
-    assert!(began.elapsed() >= waits);
+    assert!(started.elapsed() >= delay);
     assert_eq!(outstanding.next_due().map(|planned| planned.attempt), Some(1));
     outstanding.enqueue(planned(2));
-    outstanding.hold_for(Duration::from_mins(1));
-    mail.send(Message::Verdict(Verdict::Failed)).unwrap();
+    outstanding.delay_sending_by(Duration::from_mins(1));
+    sender.send(Message::Verdict(Verdict::Failed)).unwrap();
     assert!(matches!(outstanding.receive(&messages), Some(Message::Verdict(Verdict::Failed))));
 }
 
 #[test]
-fn attempt_that_times_out_while_queued_is_never_sent() {
+fn attempt_withdrawn_while_queued_is_never_sent() {
     let mut outstanding = OutstandingAttempts::new(Instant::now());
     outstanding.enqueue(planned(1));
     outstanding.enqueue(planned(2));
@@ -38,17 +38,17 @@
     assert!(outstanding.next_due().is_none());
 }
 
-/// Of 384 descriptors 153 are for clients and 128 for stores, however two processes share them.
+/// Of 384 descriptors, 153 are for clients and 128 for stores, however the two processes share them.
 #[rstest]
 #[case::no_other_process(ConnectionCounts { clients: 0, stores: 0 }, 128, 0)]
 #[case::old_process_with_many_idle_clients(ConnectionCounts { clients: 100, stores: 8 }, 50, 30)]
 #[case::old_process_that_waits_for_stores(ConnectionCounts { clients: 100, stores: 60 }, 50, 82)]
 #[case::small_process(ConnectionCounts { clients: 20, stores: 10 }, 30, 0)]
-fn two_processes_together_have_no_more_connections_than_one(
-    #[case] there: ConnectionCounts,
+fn two_processes_stay_within_connection_limits_of_one(
+    #[case] other_process: ConnectionCounts,
     #[case] stores: usize,
-    #[case] taken: usize,
+    #[case] excess: usize,
 ) {
-    assert_eq!(there.excess_clients(stores, 128), taken);
-    assert!(153 - taken + there.clients + stores + there.stores <= 153 + 128);
+    assert_eq!(other_process.excess_clients(stores, 128), excess);
+    assert!(153 - excess + other_process.clients + stores + other_process.stores <= 153 + 128);
 }
--- a/src/net/lifecycle/gateway.rs
+++ b/src/net/lifecycle/gateway.rs
@@ -128,7 +128,7 @@
             may::coroutine::sleep(TICK_INTERVAL);
             control_side.tick();
             if tick.is_multiple_of(CLIENT_CHECK_TICKS) {
-                core.request_client_looks();
+                core.request_presence_checks();
             }
             if tick.is_multiple_of(CERTIFICATE_CHECK_TICKS) {
                 clients.shut_expired_identities(&core.guard);
--- a/src/net/lifecycle/link.rs
+++ b/src/net/lifecycle/link.rs
@@ -187,7 +187,7 @@
     core.has_peer_process.store(false, Ordering::SeqCst);
     lock(&core.ids_to_report).clear();
     core.clients.reserve_elsewhere(0);
-    core.stores.take_places(0);
+    core.stores.reserve_connections(0);
     core.broker().set_process_count(1);
     log::info!("one process is this gateway");
 }
--- a/src/net/mailbox.rs
+++ b/src/net/mailbox.rs
@@ -1,60 +1,61 @@
-//! The mailbox of a request: the broker, its timers and the connections to stores reach the request's coroutine by it.
+//! The mailbox of a request, through which the broker, its timers and the store connections send messages to the
+//! request's coroutine.
 
 use crate::broker::{Verdict, Waiter};
 use crate::net::lock;
-use crate::net::upstream::store::{Answered, Reply};
+use crate::net::upstream::store::{Reply, ReplyReceiver};
 use may::sync::mpsc;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// An attempt is written only if its client was seen to be connected within this time. Clients are looked at more often,
-/// unless the process was kept from running.
-const CLIENT_SEEN_WITHIN: Duration = Duration::from_millis(50);
+/// An attempt is written only if its client was seen to be connected within this time. Clients are checked more often,
+/// unless the process was suspended.
+const CLIENT_SEEN_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// What is sent to a waiting request.
+/// A message to the coroutine of a request.
 #[derive(Debug)]
 pub enum Message {
-    /// The broker has decided how the request goes on.
+    /// The broker has decided how the request continues.
     Verdict(Verdict),
     /// An attempt has ended.
     Reply {
         /// The number of the attempt.
         attempt: u32,
-        /// How it ended.
+        /// How the attempt ended.
         reply: Reply,
     },
     /// The attempt with this number has timed out.
     Withdraw(u32),
-    /// The request is to look whether its client is still connected.
-    Look,
+    /// The request must check whether its client is still connected.
+    CheckPresence,
 }
 
-/// The sending side of a request's mailbox. Sending never blocks, and does nothing once the request has ended.
+/// The sending half of a request's mailbox. Sending never blocks, and has no effect once the request has ended.
 #[derive(Clone)]
 pub struct Mailbox {
     messages: mpsc::Sender<Message>,
-    /// When the client was last seen to be connected; `None`: the request has no client that could leave.
+    /// When the client was last seen to be connected; `None` if the request has no client that can disconnect.
     client_seen: Option<Arc<Mutex<Instant>>>,
 }
 
 impl Mailbox {
-    /// A mailbox and its receiving side. `has_client`: the request has a client that could leave.
+    /// Creates a mailbox and its receiving half. `has_client` states that the request has a client that can disconnect.
     pub(super) fn new(has_client: bool) -> (Mailbox, mpsc::Receiver<Message>) {
         let (messages, receiver) = mpsc::channel();
         let client_seen = has_client.then(|| Arc::new(Mutex::new(Instant::now())));
         (Mailbox { messages, client_seen }, receiver)
     }
 
-    /// Notes that the client was just seen to be connected.
-    pub(super) fn note_client_seen(&self) {
+    /// Records that the client was just seen to be connected.
+    pub(super) fn record_client_seen(&self) {
         if let Some(seen) = &self.client_seen {
             *lock(seen) = Instant::now();
         }
     }
 
-    /// Has the request look at its client.
-    pub(super) fn request_look(&self) {
-        let _ = self.messages.send(Message::Look);
+    /// Asks the request to check whether its client is still connected.
+    pub(super) fn request_presence_check(&self) {
+        let _ = self.messages.send(Message::CheckPresence);
     }
 }
 
@@ -68,17 +69,17 @@
     }
 }
 
-impl Answered for Mailbox {
+impl ReplyReceiver for Mailbox {
     fn reply(&self, attempt: u32, reply: Reply) {
         let _ = self.messages.send(Message::Reply { attempt, reply });
     }
 
-    fn client_seen_lately(&self) -> bool {
+    fn client_seen_recently(&self) -> bool {
         let Some(seen) = &self.client_seen else { return true };
-        let seen_lately = lock(seen).elapsed() <= CLIENT_SEEN_WITHIN;
-        if !seen_lately {
-            self.request_look();
+        let seen_recently = lock(seen).elapsed() <= CLIENT_SEEN_TIMEOUT;
+        if !seen_recently {
+            self.request_presence_check();
         }
-        seen_lately
+        seen_recently
     }
 }
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -1,3 +1,3 @@
-//! Connections to stores and the line protocol spoken on them.
+//! Connections to stores, and the line protocol that they use.
 
 pub mod store;
--- a/src/net/upstream/store.rs
+++ b/src/net/upstream/store.rs
@@ -1,13 +1,12 @@
 //! The client of the line protocol to stores, parents and the origin, over connections that can carry many requests.
 //!
 //! - `connection`: the state of a connection; `io`: its writer and reader coroutines;
-//! - `pull`: the commands that are sent; `answer`: the answers.
+//! - `pull`: encoding of commands; `answer`: parsing of answers.
 //!
-//! How an attempt ends depends on what is known of it: one of which no byte was written never ran; one that was written and
-//! got no answer may have run.
+//! An attempt of which no byte was written never ran; one that was written and got no answer may have run.
 //!
-//! An answer that is malformed, stops short or never arrives makes its connection unusable for all attempts on it. So each
-//! attempt has a connection to itself as long as there are descriptors; only beyond that do attempts share connections.
+//! An answer that is malformed, truncated or missing makes its connection unusable for all attempts on it. Therefore each
+//! attempt has a connection to itself as long as there are descriptors; only beyond that are attempts pipelined.
 
 mod answer;
 mod connection;
@@ -31,98 +30,100 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The log target of these modules, on which operators' filters rely.
+/// The log target of these modules. Operators' log filters rely on it.
 const LOG_TARGET: &str = "sagearch::net::upstream::store";
-/// How long a store that has left the list is remembered.
+/// How long a removed store stays in the table.
 const REMOVED_STORE_RETENTION: Duration = Duration::from_mins(1);
-/// The idle timeout of a process that hands over.
+/// The idle timeout of store connections in a process that has handed over.
 const HANDOVER_IDLE_TIMEOUT: Duration = Duration::from_millis(100);
-/// The most connections to one store, with those that take no new attempts and wait for their last answers.
+/// The maximum number of connections to one store, including retired ones that wait for their last answers.
 const MAX_CONNECTIONS_PER_STORE: usize = 32;
-/// Stores send answers without pauses. One whose bytes stop for this long is not completed any more.
+/// Stores send an answer without pauses. An incomplete answer that receives no bytes for this long is not expected to
+/// complete any more.
 const STALL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Receives the answer to an attempt.
-pub trait Answered: Clone + Send + 'static {
-    /// Delivers the answer. Never blocks.
+/// Receives replies to attempts.
+pub trait ReplyReceiver: Clone + Send + 'static {
+    /// Delivers the reply to an attempt. Never blocks.
     fn reply(&self, attempt: u32, reply: Reply);
 
-    /// Whether the client was there a moment ago. If that is not known, the client is looked at, and this is to be called
-    /// again.
-    fn client_seen_lately(&self) -> bool;
+    /// Whether the client was recently seen to be connected. If not, this requests a check of the client connection, and
+    /// the caller is to call it again.
+    fn client_seen_recently(&self) -> bool;
 }
 
 struct Store<A> {
     name: String,
-    /// `None`: the list states none that can be used.
+    /// `None` if the endpoint list contains no usable address.
     address: Option<SocketAddr>,
-    /// Since when the list has not named it, or has named it as gone; `None`: it is listed.
+    /// When the store was removed from the endpoint list or listed as gone; `None` while it is listed.
     removed: Option<Instant>,
     connections: Vec<Arc<Connection<A>>>,
 }
 
-/// A connection that can take an attempt.
+/// A connection that accepts another attempt.
 struct Candidate<A> {
-    /// How many attempts are pending on it.
+    /// The number of pending attempts on the connection.
     pending: usize,
     connection: Arc<Connection<A>>,
 }
 
 impl<A> Store<A> {
-    /// The connection with the fewest pending attempts of those that can take one of request `id`. Of several without any it
-    /// is the last used one, so that those that are not needed reach their idle timeout.
+    /// The connection with the fewest pending attempts among those that accept an attempt of request `id`. Among equally
+    /// loaded ones it is the most recently used, so that surplus connections reach their idle timeout.
     fn least_loaded(&self, id: u64, max_pending: usize) -> Option<Candidate<A>> {
         let load_of = |connection: &Arc<Connection<A>>| {
             let state = lock(&connection.state);
-            // An answer under way that nobody waits for any more may never end, and others would wait behind it.
-            let is_blocked = state.midway && state.pending.is_empty();
+            // An incomplete answer that no attempt waits for may never complete, and would block later answers.
+            let is_blocked = state.answer_incomplete && state.pending.is_empty();
             let fits = !state.retired
                 && !is_blocked
                 && state.pending.len() < max_pending
                 && !state.pending.contains_key(&id)
-                && !state.ended.contains(&id);
-            fits.then_some((state.pending.len(), Reverse(state.used)))
+                && !state.ended_ids.contains(&id);
+            fits.then_some((state.pending.len(), Reverse(state.last_used)))
         };
-        let candidates = self.connections.iter().filter_map(|one| Some((load_of(one)?, one)));
+        let candidates =
+            self.connections.iter().filter_map(|connection| Some((load_of(connection)?, connection)));
         let best = candidates.min_by_key(|(load, _)| *load);
         best.map(|((pending, _), connection)| Candidate { pending, connection: connection.clone() })
     }
 }
 
-/// Called when an attempt's first byte is about to be written. Returns the time that the attempt has left; `None`: it may
-/// not be sent any more.
-pub type Gate = Arc<dyn Fn(&PlannedAttempt) -> Option<Duration> + Send + Sync>;
+/// Decides whether an attempt may be sent, just before its first byte is written. Returns the remaining time of the
+/// attempt; `None` if it may not be sent any more.
+pub type AdmissionCheck = Arc<dyn Fn(&PlannedAttempt) -> Option<Duration> + Send + Sync>;
 
-/// Limits of the connections to stores.
+/// Limits of store connections.
 #[derive(Clone, Copy)]
 pub struct Limits {
-    /// The most attempts that are pending on one connection.
-    pub streams: usize,
-    /// The most connections to all stores together.
-    pub connections: usize,
-    /// How long opening a connection may take.
-    pub connect: Duration,
-    /// After what time without attempts a connection is closed.
-    pub idle: Duration,
+    /// The maximum number of pending attempts on one connection.
+    pub max_pending: usize,
+    /// The maximum number of connections to all stores together.
+    pub max_connections: usize,
+    /// The timeout for opening a connection.
+    pub connect_timeout: Duration,
+    /// How long a connection without attempts stays open.
+    pub idle_timeout: Duration,
 }
 
-/// All stores by id, with their connections.
+/// The table of all stores and their connections.
 pub struct Stores<A> {
     table: Mutex<BTreeMap<MemberId, Store<A>>>,
     limits: Mutex<Limits>,
-    gate: Gate,
-    /// How many of the connections the other process of this gateway holds.
-    taken: AtomicUsize,
+    admission_check: AdmissionCheck,
+    /// The number of connections reserved for the other process of this gateway.
+    reserved: AtomicUsize,
 }
 
-impl<A: Answered> Stores<A> {
-    /// A table without stores.
-    pub fn new(limits: Limits, gate: Gate) -> Arc<Self> {
+impl<A: ReplyReceiver> Stores<A> {
+    /// Creates an empty table.
+    pub fn new(limits: Limits, admission_check: AdmissionCheck) -> Arc<Self> {
         Arc::new(Stores {
             table: Mutex::default(),
             limits: Mutex::new(limits),
-            gate,
-            taken: AtomicUsize::new(0),
+            admission_check,
+            reserved: AtomicUsize::new(0),
         })
     }
 
@@ -130,13 +131,13 @@
         *lock(&self.limits)
     }
 
-    /// Changes the limits, also for open connections.
+    /// Replaces the limits. They also apply to open connections.
     pub fn set_limits(&self, limits: Limits) {
         *lock(&self.limits) = limits;
     }
 
-    /// Adds or updates a listed store. Connections to its previous address take no new attempts.
-    pub fn list(&self, id: MemberId, name: &str, address: Option<SocketAddr>, removed: bool) {
+    /// Adds or updates a store of the endpoint list. Connections to its previous address accept no new attempts.
+    pub fn upsert(&self, id: MemberId, name: &str, address: Option<SocketAddr>, removed: bool) {
         let mut table = lock(&self.table);
         let store = table.entry(id).or_insert_with(|| Store {
             name: name.into(),
@@ -151,76 +152,79 @@
         }
     }
 
-    /// Marks all stores as removed. Those that the complete list names, which follows, are listed again.
+    /// Marks all stores as removed. The complete endpoint list that follows restores those that it contains.
     pub fn mark_all_removed(&self) {
         let now = Instant::now();
         lock(&self.table).values_mut().for_each(|store| store.removed = store.removed.or(Some(now)));
     }
 
-    /// The number of connections.
+    /// The number of connections to all stores.
     pub fn connections(&self) -> usize {
         lock(&self.table).values().map(|store| store.connections.len()).sum()
     }
 
     /// Reserves connections for the other process of this gateway, until the next call.
-    pub fn take_places(&self, taken: usize) {
-        self.taken.store(taken, Ordering::SeqCst);
+    pub fn reserve_connections(&self, reserved: usize) {
+        self.reserved.store(reserved, Ordering::SeqCst);
     }
 
-    /// Whether a store of this name is listed, or was until a short time ago and may come back.
+    /// Whether a store of this name is in the table: listed, or removed a short time ago.
     pub fn knows(&self, name: &str) -> bool {
         lock(&self.table).values().any(|store| store.name == name)
     }
 
-    /// The address of a store.
+    /// The address of a store, if it is in the table and has one.
     pub fn address(&self, id: MemberId) -> Option<SocketAddr> {
         lock(&self.table).get(&id).and_then(|store| store.address)
     }
 
-    /// A store's name on the wire.
+    /// The name of a store on the wire.
     fn name(&self, id: MemberId) -> Option<String> {
         lock(&self.table).get(&id).map(|store| store.name.clone())
     }
 
-    /// Sends an attempt of a request.
-    pub fn pull(self: &Arc<Self>, planned: &PlannedAttempt, pull: &Arc<Pull>, to: A) -> Ticket<A> {
-        self.send(planned, Command::Pull(pull.clone()), to)
+    /// Sends an attempt of a request. The reply is delivered to `receiver`.
+    pub fn pull(self: &Arc<Self>, planned: &PlannedAttempt, pull: &Arc<Pull>, receiver: A) -> Ticket<A> {
+        self.send(planned, Command::Pull(pull.clone()), receiver)
     }
 
-    /// Sends a health check.
-    pub fn echo(self: &Arc<Self>, planned: &PlannedAttempt, to: A) -> Ticket<A> {
-        self.send(planned, Command::Echo, to)
+    /// Sends a health check. The reply is delivered to `receiver`.
+    pub fn echo(self: &Arc<Self>, planned: &PlannedAttempt, receiver: A) -> Ticket<A> {
+        self.send(planned, Command::Echo, receiver)
     }
 
-    fn send(self: &Arc<Self>, planned: &PlannedAttempt, command: Command, to: A) -> Ticket<A> {
+    fn send(self: &Arc<Self>, planned: &PlannedAttempt, command: Command, receiver: A) -> Ticket<A> {
         let id = planned.request.0;
         let sent = Instant::now();
         let Some(conn) = self.connection(planned.member, id) else {
-            to.reply(planned.attempt, Reply::bare(End::NotSent));
+            receiver.reply(planned.attempt, Reply::bare(End::NotSent));
             return Ticket { conn: None, id, sent };
         };
         {
             let mut state = lock(&conn.state);
-            state.used = sent;
+            state.last_used = sent;
             let expected = command.expected();
-            state.pending.insert(id, Pending { attempt: planned.attempt, to, written: false, expected });
+            state
+                .pending
+                .insert(id, Pending { attempt: planned.attempt, receiver, written: false, expected });
         }
         let _ = conn.queue.send(WriterTask::Send { planned: planned.clone(), command });
         Ticket { conn: Some(conn), id, sent }
     }
 
-    /// A connection without pending attempts. If there is none, a new one; without descriptors for that, the one with the
-    /// fewest pending attempts.
+    /// Selects a connection without pending attempts. If there is none, opens a new one, or without descriptors for that
+    /// selects the one with the fewest pending attempts.
     fn connection(self: &Arc<Self>, member: MemberId, id: u64) -> Option<Arc<Connection<A>>> {
         let limits = self.limits();
         let mut table = lock(&self.table);
         let total: usize = table.values().map(|store| store.connections.len()).sum();
         let store = table.get_mut(&member)?;
-        let best = store.least_loaded(id, limits.streams);
-        // Descriptors are bounded, and one store that is silent must not take the others' share.
-        let most = crate::net::remaining_budget(limits.connections, self.taken.load(Ordering::SeqCst));
-        let may_open = total < most
-            && store.connections.len() < MAX_CONNECTIONS_PER_STORE.min(limits.connections)
+        let best = store.least_loaded(id, limits.max_pending);
+        // Descriptors are limited, and a store that does not answer must not use up the share of the others.
+        let max_connections =
+            crate::net::remaining_budget(limits.max_connections, self.reserved.load(Ordering::SeqCst));
+        let may_open = total < max_connections
+            && store.connections.len() < MAX_CONNECTIONS_PER_STORE.min(limits.max_connections)
             && store.address.is_some();
         match best {
             Some(Candidate { pending, connection }) if pending == 0 || !may_open => return Some(connection),
@@ -236,7 +240,7 @@
         Some(connection)
     }
 
-    /// Starts the writer of a new connection, which leaves the table when the writer ends.
+    /// Starts the writer of a new connection. The connection is removed from the table when the writer ends.
     fn spawn_writer(
         self: &Arc<Self>,
         member: MemberId,
@@ -253,23 +257,23 @@
         });
     }
 
-    /// Closes connections that are idle for long, that take no new attempts and have none pending, or whose answer under way
-    /// has stopped. `handed_over`: another process has taken over.
+    /// Closes connections that have reached the idle timeout, that are retired and have no pending attempts, or whose
+    /// incomplete answer has stalled. `handed_over` states that another process accepts the new connections.
     pub fn sweep(&self, handed_over: bool) {
         let now = Instant::now();
-        // A process that hands over needs few connections, and the other one lacks those that it holds.
-        let idle = if handed_over { HANDOVER_IDLE_TIMEOUT } else { self.limits().idle };
+        // A process that has handed over needs few connections, and each that it keeps is one less for the other process.
+        let idle = if handed_over { HANDOVER_IDLE_TIMEOUT } else { self.limits().idle_timeout };
         let mut close = Vec::new();
         {
             let mut table = lock(&self.table);
             for store in table.values_mut() {
                 for conn in &store.connections {
                     let mut state = lock(&conn.state);
-                    let over = state.retired || store.removed.is_some() || now - state.used > idle;
-                    if over && state.pending.is_empty() {
+                    let expired = state.retired || store.removed.is_some() || now - state.last_used > idle;
+                    if expired && state.pending.is_empty() {
                         state.retired = true;
                         close.push(conn.clone());
-                    } else if state.midway && now - state.heard > STALL_TIMEOUT {
+                    } else if state.answer_incomplete && now - state.last_received > STALL_TIMEOUT {
                         // The reader wakes up and ends all pending attempts.
                         let _ = state.stream.as_ref().map(|stream| stream.shutdown(Shutdown::Both));
                     }
--- a/src/net/upstream/store/answer.rs
+++ b/src/net/upstream/store/answer.rs
@@ -1,45 +1,45 @@
-//! Answers of stores: how they are parsed, and what each proves of its attempt.
+//! Parsing of answers from stores, and what each answer proves about its attempt.
 
 use crate::interface::{Detail, Load, Outcome};
 use std::str::Utf8Error;
 use thiserror::Error;
 
-/// The longest line of an answer, in bytes.
+/// The maximum length of an answer line.
 pub(super) const MAX_LINE_BYTES: usize = 2_048;
-/// The largest object, in bytes.
+/// The maximum size of an object.
 const MAX_OBJECT_BYTES: usize = 240_000;
-/// Ends a line, and the bytes of an answer.
+/// Terminates the answer line and the body.
 const LINE_END: &[u8] = b"\r\n";
 
 /// How an attempt or a health check ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum End {
-    /// The object's bytes.
+    /// The store returned the object, whose bytes are given.
     Ok(Vec<u8>),
-    /// The client's copy is current.
+    /// The copy that the client has is current.
     Current,
     /// The store does not have the object.
     Nothing,
-    /// The store has refused the request, which did not run.
+    /// The store refused the request, which did not run.
     Refused,
     /// The request failed at the store.
     Error,
-    /// The store took the request as outdated; it did not run.
+    /// The store rejected the request as outdated; it did not run.
     Stale,
-    /// The store answers health checks, and takes requests.
+    /// The store passed a health check and accepts requests.
     Yes,
-    /// The store answers health checks, and takes no requests.
+    /// The store answered a health check and accepts no requests.
     No,
     /// No connection could be opened.
     Unreachable,
     /// The connection broke after the attempt was written.
     Reset,
-    /// The attempt was never written: a drain or a purge forbade it, or there was no connection for it.
+    /// The attempt was never written: a drain or a purge prevented it, or no connection was available.
     NotSent,
 }
 
 impl End {
-    /// What the end proves of the attempt.
+    /// What this end proves about the attempt.
     pub fn outcome(&self) -> Outcome {
         match self {
             End::Ok(_) | End::Current => Outcome::Served,
@@ -54,34 +54,34 @@
     }
 }
 
-/// The answer to an attempt or a health check.
+/// The reply to an attempt or a health check.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply {
-    /// How it ended.
+    /// How the attempt ended.
     pub end: End,
-    /// Where the object came from, or why there is none.
+    /// Where the object came from, or why none was returned.
     pub detail: Detail,
-    /// How many requests the store says it has in flight.
+    /// The number of requests in flight that the store reports.
     pub inflight: Option<f64>,
-    /// The part of its capacity that the store says it uses.
+    /// The utilization that the store reports, as a part of its capacity.
     pub busy: Option<f64>,
     /// The version of the object.
     pub etag: Option<String>,
 }
 
 impl Reply {
-    /// An answer without further fields.
+    /// Creates a reply without further fields.
     pub(super) fn bare(end: End) -> Reply {
         Reply { end, detail: Detail::Unspecified, inflight: None, busy: None, etag: None }
     }
 
-    /// The load that the store reports.
+    /// The load report of the store.
     pub fn load(&self) -> Load {
         Load { inflight: self.inflight, busy: self.busy }
     }
 }
 
-/// The line before an answer's bytes. Those are filled into the reply later.
+/// The line before the body of an answer. The body is added to the reply later.
 #[derive(Debug, PartialEq)]
 struct AnswerLine {
     id: u64,
@@ -89,12 +89,12 @@
     length: usize,
 }
 
-/// The kind of answer that an attempt asks for. An answer of another kind proves nothing of the attempt.
+/// The kind of answer that an attempt expects. An answer of another kind proves nothing about the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ExpectedAnswer {
     /// An answer to a request.
     Pull {
-        /// The request named a copy that the client has.
+        /// Whether the request states a copy that the client has.
         have: bool,
     },
     /// An answer to a health check.
@@ -102,7 +102,8 @@
 }
 
 impl ExpectedAnswer {
-    /// The end of the attempt by this answer. An answer of another kind ends it as one that may have run.
+    /// The end of the attempt, given the end that the answer states. An answer of an unexpected kind counts as
+    /// [`End::Error`]: the attempt may have run.
     pub(super) fn end(self, end: End) -> End {
         match (self, &end) {
             (ExpectedAnswer::Pull { have: true }, End::Current)
@@ -115,22 +116,22 @@
     }
 }
 
-/// Why received bytes are no answer.
+/// Why received bytes are not a valid answer.
 #[derive(Debug, Error)]
 pub(super) enum AnswerError {
     #[error(transparent)]
     NotText(#[from] Utf8Error),
-    #[error("answer line {line:?}")]
+    #[error("malformed answer line {line:?}, expected ID WORD FIELDS LENGTH")]
     MalformedLine { line: String },
-    #[error("answer line too long")]
+    #[error("answer line exceeds {MAX_LINE_BYTES} bytes")]
     LineTooLong,
-    #[error("answer line without CR LF")]
+    #[error("answer line does not end with CR LF")]
     MissingLineEnd,
-    #[error("answer {id:016x} is longer than told")]
+    #[error("answer {id:016x} is longer than its stated length")]
     LongerThanStated { id: u64 },
 }
 
-/// Parses `ID WORD FIELDS LENGTH`, without its line end.
+/// Parses `ID WORD FIELDS LENGTH`, without the line terminator.
 fn parse_line(line: &[u8]) -> Result<AnswerLine, AnswerError> {
     let text = std::str::from_utf8(line)?;
     parse_words(text).ok_or_else(|| AnswerError::MalformedLine { line: text.into() })
@@ -187,7 +188,7 @@
     }
 }
 
-/// Parses `NAME:VALUE;...`
+/// Parses `NAME:VALUE;...` into the load fields of a reply.
 fn parse_gauges(gauges: &str, reply: &mut Reply) {
     for (name, value) in gauges.split(';').filter_map(|gauge| gauge.split_once(':')) {
         let value = value.parse::<f64>().ok().filter(|value| value.is_finite());
@@ -207,7 +208,7 @@
     pub reply: Reply,
 }
 
-/// An answer whose line has been received, and some of its bytes.
+/// An answer whose line and a part of whose body have been received.
 struct PartialAnswer {
     line: AnswerLine,
     body: Vec<u8>,
@@ -219,7 +220,7 @@
         PartialAnswer { line, body }
     }
 
-    /// How many bytes are missing, with the line end behind the object.
+    /// The number of missing bytes, including the line terminator after the object.
     fn missing(&self) -> usize {
         self.line.length + LINE_END.len() - self.body.len()
     }
@@ -237,7 +238,7 @@
     }
 }
 
-/// Parses answers from bytes that arrive in pieces.
+/// An incremental parser of answers.
 #[derive(Default)]
 pub(super) struct AnswerParser {
     line: Vec<u8>,
@@ -245,16 +246,16 @@
 }
 
 impl AnswerParser {
-    /// Whether an answer has begun and is not complete.
-    pub(super) fn is_midway(&self) -> bool {
+    /// Whether an answer is received in part.
+    pub(super) fn is_answer_incomplete(&self) -> bool {
         self.partial.is_some() || !self.line.is_empty()
     }
 
-    /// Adds the answers that these bytes complete to `done`, also those before an error.
+    /// Parses received bytes, and adds the answers that they complete to `done`, also those before an error.
     ///
     /// # Errors
     ///
-    /// If the bytes are no answer. Nothing that follows can be parsed.
+    /// If the bytes are not a valid answer. No bytes after that can be parsed.
     pub(super) fn push(&mut self, mut bytes: &[u8], done: &mut Vec<Answer>) -> Result<(), AnswerError> {
         while !bytes.is_empty() {
             bytes = match self.partial.take() {
@@ -265,7 +266,7 @@
         Ok(())
     }
 
-    /// Takes bytes of an object, and returns the rest.
+    /// Consumes bytes of a body, and returns the rest.
     fn push_body<'a>(
         &mut self,
         mut partial: PartialAnswer,
@@ -282,7 +283,7 @@
         Ok(rest)
     }
 
-    /// Takes bytes of a line, and returns the rest.
+    /// Consumes bytes of an answer line, and returns the rest.
     fn push_line<'a>(&mut self, bytes: &'a [u8]) -> Result<&'a [u8], AnswerError> {
         let end = bytes.iter().position(|byte| *byte == b'\n');
         let (line, rest) = bytes.split_at(end.map_or(bytes.len(), |end| end + 1));
--- a/src/net/upstream/store/io.rs
+++ b/src/net/upstream/store/io.rs
@@ -1,10 +1,10 @@
-//! The two coroutines of a connection: the writer, which connects and then carries out queued tasks, and the reader, which
-//! delivers answers.
+//! The two coroutines of a connection: the writer, which opens the connection and executes queued tasks, and the reader,
+//! which delivers answers.
 
 use super::answer::{AnswerParser, End};
 use super::connection::{Connection, WriterTask};
 use super::pull::Command;
-use super::{Answered, LOG_TARGET, Stores};
+use super::{LOG_TARGET, ReplyReceiver, Stores};
 use crate::broker::PlannedAttempt;
 use crate::net::io_error::{Call, Failure, Retries, set_nodelay};
 use crate::net::{lock, spawn};
@@ -15,47 +15,54 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How often a connect that failed transiently is retried, and after what pause.
+/// The maximum number of retries of a connect that fails with a transient error.
 const CONNECT_RETRIES: usize = 3;
+/// The delay before a connect is retried.
 const CONNECT_BACKOFF: Duration = Duration::from_millis(2);
-/// The connection to a store that accepts no bytes for this long is closed.
+/// A connection whose store accepts no bytes for this long is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// An attempt with less time left is not sent, as the protocol counts whole milliseconds.
-const MIN_TIME_LEFT: Duration = Duration::from_millis(1);
+/// An attempt with less time remaining is not sent, as the protocol counts whole milliseconds.
+const MIN_REMAINING_TIME: Duration = Duration::from_millis(1);
 const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// How long a writer waits until a client has been looked at, and how often it checks for that.
-const LOOK_TIMEOUT: Duration = Duration::from_millis(100);
-const LOOK_POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// The pause before a write is retried where the socket's buffer is full.
+/// How long a writer waits for the requested check of a client connection.
+const PRESENCE_TIMEOUT: Duration = Duration::from_millis(100);
+/// How often a writer polls for the result of a client connection check.
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
+/// The delay before a write is retried when the socket's send buffer is full.
 const WRITE_RETRY_DELAY: Duration = Duration::from_millis(2);
 
-impl<A: Answered> Stores<A> {
-    /// Runs a connection's writer, from opening the connection to its end.
-    pub(super) fn run(&self, conn: &Arc<Connection<A>>, at: SocketAddr, tasks: &mpsc::Receiver<WriterTask>) {
-        let began = Instant::now();
-        let stream = match connect(at, self.limits().connect) {
+impl<A: ReplyReceiver> Stores<A> {
+    /// Runs the writer of a connection: opens the connection, and executes tasks until it is closed.
+    pub(super) fn run(
+        &self,
+        conn: &Arc<Connection<A>>,
+        address: SocketAddr,
+        tasks: &mpsc::Receiver<WriterTask>,
+    ) {
+        let started = Instant::now();
+        let stream = match connect(address, self.limits().connect_timeout) {
             Ok(stream) => stream,
             Err(e) => {
-                log::debug!(target: LOG_TARGET, "store {at}: {e}");
+                log::debug!(target: LOG_TARGET, "store {address}: {e}");
                 return conn.fail_all(&connect_failure(&e));
             }
         };
         {
             let mut state = lock(&conn.state);
-            (state.heard, state.stream) = (Instant::now(), Some(stream.clone()));
-            state.connect_time = began.elapsed();
+            (state.last_received, state.stream) = (Instant::now(), Some(stream.clone()));
+            state.connect_time = started.elapsed();
         }
-        spawn_reader(conn.clone(), stream.clone(), at);
+        spawn_reader(conn.clone(), stream.clone(), address);
         while let Ok(task) = tasks.recv() {
             let written = match task {
                 WriterTask::Close => break,
-                WriterTask::Kill(id) => write_out(&stream, format!("KILL {id:016x}\r\n").as_bytes()),
+                WriterTask::Kill(id) => write_all(&stream, format!("KILL {id:016x}\r\n").as_bytes()),
                 WriterTask::Send { planned, command } => {
                     self.write_attempt(conn, &stream, &planned, &command)
                 }
             };
             if let Err(e) = written {
-                log::debug!(target: LOG_TARGET, "store {at}: {e}");
+                log::debug!(target: LOG_TARGET, "store {address}: {e}");
                 break;
             }
         }
@@ -64,8 +71,8 @@
         lock(&conn.state).stream = None;
     }
 
-    /// Writes an attempt, if it may still be sent. Whether it may, and how much time it has left, is determined anew until
-    /// its first byte is written: opening the connection may have taken long, or its buffer may be full for a while.
+    /// Writes an attempt if it may still be sent. Permission and remaining time are checked again before each try to write
+    /// the first byte: opening the connection may have taken long, or the send buffer may be full for a while.
     fn write_attempt(
         &self,
         conn: &Connection<A>,
@@ -73,25 +80,25 @@
         planned: &PlannedAttempt,
         command: &Command,
     ) -> io::Result<()> {
-        let since = Instant::now();
+        let started = Instant::now();
         loop {
             if !client_waits(conn, planned) {
                 return Ok(());
             }
-            // The store may have closed the idle connection before the reader has run. What is not written certainly
-            // never ran.
-            if has_ended(stream) {
+            // The store may have closed the idle connection before the reader has noticed it. An attempt that was not
+            // written has certainly not run.
+            if is_closed_by_store(stream) {
                 return Err(io::ErrorKind::BrokenPipe.into());
             }
-            let Some(left) = self.admit(conn, planned) else { return Ok(()) };
-            let bytes = command.bytes(planned, left, |id| self.name(id));
+            let Some(remaining) = self.admit(conn, planned) else { return Ok(()) };
+            let bytes = command.bytes(planned, remaining, |id| self.name(id));
             match stream.inner().write(&bytes) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(written) => {
-                    conn.note_written(planned);
-                    return write_out(stream, &bytes[written..]);
+                    conn.record_written(planned);
+                    return write_all(stream, &bytes[written..]);
                 }
-                Err(e) if may_retry(&e) && since.elapsed() < WRITE_TIMEOUT => {
+                Err(e) if is_retryable(&e) && started.elapsed() < WRITE_TIMEOUT => {
                     may::coroutine::sleep(WRITE_RETRY_DELAY);
                 }
                 Err(e) => return Err(e),
@@ -99,25 +106,25 @@
         }
     }
 
-    /// The time left for an attempt that may be sent now; `None`: it may not be, and has been ended as not sent. Drains and
-    /// purges count as of the attempt's first byte.
+    /// Returns the remaining time of an attempt that may be sent now. Otherwise ends the attempt as not sent and returns
+    /// `None`. Drains and purges prevent the attempt until its first byte is written.
     fn admit(&self, conn: &Connection<A>, planned: &PlannedAttempt) -> Option<Duration> {
-        let left = (self.gate)(planned).filter(|left| *left >= MIN_TIME_LEFT);
-        if left.is_none() {
+        let remaining = (self.admission_check)(planned).filter(|remaining| *remaining >= MIN_REMAINING_TIME);
+        if remaining.is_none() {
             conn.end_unsent(planned);
         }
-        left
+        remaining
     }
 }
 
-/// Whether an attempt is still waited for, by a client that was there a moment ago. The attempt may have been queued for
-/// long, or the process may have been suspended. Then it waits until its client has been looked at again; if that takes too
-/// long it is not sent.
-fn client_waits<A: Answered>(conn: &Connection<A>, planned: &PlannedAttempt) -> bool {
-    let since = Instant::now();
+/// Whether an attempt is still pending and its client was recently seen to be connected. If the attempt was queued for
+/// long or the process was suspended, this waits until the client connection has been checked again. If that takes too
+/// long, the attempt is not sent.
+fn client_waits<A: ReplyReceiver>(conn: &Connection<A>, planned: &PlannedAttempt) -> bool {
+    let started = Instant::now();
     loop {
-        match conn.client_seen_lately(planned) {
-            Some(false) if since.elapsed() < LOOK_TIMEOUT => may::coroutine::sleep(LOOK_POLL_INTERVAL),
+        match conn.client_seen_recently(planned) {
+            Some(false) if started.elapsed() < PRESENCE_TIMEOUT => may::coroutine::sleep(POLL_INTERVAL),
             Some(false) => {
                 conn.end_unsent(planned);
                 return false;
@@ -127,13 +134,13 @@
     }
 }
 
-/// Opens a connection. Transient failures of this machine are retried as long as there is time.
-fn connect(at: SocketAddr, within: Duration) -> io::Result<Arc<TcpStream>> {
-    let began = Instant::now();
+/// Opens a connection. Transient errors of this machine are retried until the timeout expires.
+fn connect(address: SocketAddr, timeout: Duration) -> io::Result<Arc<TcpStream>> {
+    let started = Instant::now();
     let mut retries = 0;
     loop {
-        let left = within.saturating_sub(began.elapsed());
-        match TcpStream::connect_timeout(&at, left.max(CONNECT_BACKOFF)) {
+        let remaining = timeout.saturating_sub(started.elapsed());
+        match TcpStream::connect_timeout(&address, remaining.max(CONNECT_BACKOFF)) {
             Ok(stream) => {
                 set_nodelay(&stream);
                 return Ok(Arc::new(stream));
@@ -147,8 +154,8 @@
     }
 }
 
-/// The end of attempts whose connection could not be opened. If this machine was short of something, the store was not
-/// reached, and it must not be held responsible.
+/// The end of attempts whose connection could not be opened. If this machine lacked a resource, the store was not
+/// contacted, so the failure must not count against it.
 pub(super) fn connect_failure(error: &io::Error) -> End {
     match Failure::of(Call::Connect, error) {
         Failure::Transient | Failure::LocalShortage(_) => End::NotSent,
@@ -158,22 +165,22 @@
     }
 }
 
-/// Starts the reader. When it ends, the writer ends too.
-fn spawn_reader<A: Answered>(conn: Arc<Connection<A>>, stream: Arc<TcpStream>, at: SocketAddr) {
+/// Starts the reader of a connection. When the reader ends, it stops the writer.
+fn spawn_reader<A: ReplyReceiver>(conn: Arc<Connection<A>>, stream: Arc<TcpStream>, address: SocketAddr) {
     spawn(move || {
         if let Err(e) = read_answers(&conn, &stream) {
-            log::debug!(target: LOG_TARGET, "store {at}: {e}");
+            log::debug!(target: LOG_TARGET, "store {address}: {e}");
         }
-        // The store has closed the connection, or its bytes are no answers: none can follow. The connection is closed
-        // before its attempts are ended, as those are retried elsewhere at once. Attempts that were not written are no
-        // sign that the store can't be reached.
+        // The store has closed the connection or sent a malformed answer: no further answer can be read. The connection
+        // is closed before its attempts are ended, as they are retried elsewhere at once. Attempts that were not written
+        // do not prove that the store is unreachable.
         let _ = stream.shutdown(Shutdown::Both);
         conn.fail_all(&End::NotSent);
         let _ = conn.queue.send(WriterTask::Close);
     });
 }
 
-fn read_answers<A: Answered>(conn: &Connection<A>, stream: &TcpStream) -> io::Result<()> {
+fn read_answers<A: ReplyReceiver>(conn: &Connection<A>, stream: &TcpStream) -> io::Result<()> {
     let mut buffer = vec![0; READ_BUFFER_BYTES];
     let (mut parser, mut done) = (AnswerParser::default(), Vec::new());
     let mut retries = Retries::of(Call::Read);
@@ -190,7 +197,7 @@
         let parsed = parser.push(&buffer[..read], &mut done);
         {
             let mut state = lock(&conn.state);
-            (state.heard, state.midway) = (Instant::now(), parser.is_midway());
+            (state.last_received, state.answer_incomplete) = (Instant::now(), parser.is_answer_incomplete());
         }
         for answer in done.drain(..) {
             conn.deliver(answer.id, answer.reply);
@@ -199,27 +206,27 @@
     }
 }
 
-/// Whether a failed read or write may be retried, as the connection is intact.
-fn may_retry(error: &io::Error) -> bool {
+/// Whether a failed read or write may be retried because the connection is intact.
+fn is_retryable(error: &io::Error) -> bool {
     matches!(Failure::of(Call::Write, error), Failure::Transient | Failure::LocalShortage(_))
 }
 
-/// Whether the store has closed or reset the connection, and no byte of an answer is left to read before that.
-fn has_ended(stream: &TcpStream) -> bool {
+/// Whether the store has closed or reset the connection and no received bytes remain to be read.
+fn is_closed_by_store(stream: &TcpStream) -> bool {
     match stream.inner().peek(&mut [0]) {
         Ok(read) => read == 0,
-        Err(e) => !may_retry(&e),
+        Err(e) => !is_retryable(&e),
     }
 }
 
-/// Writes all bytes. The reader waits for the same socket's events, so that a full buffer, which is rare, is polled here.
-fn write_out(stream: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
-    let since = Instant::now();
+/// Writes all bytes. The reader waits for events of the same socket, so a full send buffer, which is rare, is polled.
+fn write_all(stream: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
+    let started = Instant::now();
     while !bytes.is_empty() {
         match stream.inner().write(bytes) {
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
             Ok(written) => bytes = &bytes[written..],
-            Err(e) if may_retry(&e) && since.elapsed() < WRITE_TIMEOUT => {
+            Err(e) if is_retryable(&e) && started.elapsed() < WRITE_TIMEOUT => {
                 may::coroutine::sleep(WRITE_RETRY_DELAY);
             }
             Err(e) => return Err(e),
--- a/src/net/upstream/store/pull.rs
+++ b/src/net/upstream/store/pull.rs
@@ -1,4 +1,4 @@
-//! The commands that are sent to a store.
+//! Encoding of the commands that are sent to a store.
 
 use super::answer::ExpectedAnswer;
 use crate::broker::PlannedAttempt;
@@ -7,33 +7,33 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A request as stores receive it, whichever frontend it came by.
+/// A request in the form in which stores receive it, independent of the frontend.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Pull {
-    /// The name of its class.
+    /// The name of the request class.
     pub class: String,
     /// The name of the object.
     pub object: String,
-    /// The part of the object that is asked for; `None`: the whole.
+    /// The requested part of the object; `None` for the complete object.
     pub part: Option<String>,
     /// The idempotency key.
     pub token: Option<String>,
-    /// The version of the copy that the client has.
+    /// The version (`etag`) of the copy that the client has.
     pub have: Option<String>,
-    /// The bytes that it sends.
+    /// The request body.
     pub body: Vec<u8>,
 }
 
 impl Pull {
-    /// The bytes of an attempt that is written now, with this much time left.
+    /// Encodes an attempt that is about to be written and has this much time remaining.
     ///
-    /// Only the time left is determined when the attempt is written. The age limit stays as it was planned: copies only
-    /// grow older while the attempt waits, so that it admits no more of them, and a purge that arrives in between withholds
-    /// the attempt ([`crate::broker::Broker::may_send`]).
+    /// Only the remaining time is determined when the attempt is written. The age limit is the planned one: copies only
+    /// grow older while the attempt waits, so no additional copies become acceptable, and a purge that arrives in the
+    /// meantime prevents the attempt from being sent ([`crate::broker::Broker::may_send`]).
     fn bytes(
         &self,
         planned: &PlannedAttempt,
-        left: Duration,
+        remaining: Duration,
         name: impl Fn(MemberId) -> Option<String>,
     ) -> Vec<u8> {
         let milliseconds = |span: Micros| (span / MILLISECOND).max(1);
@@ -42,13 +42,13 @@
             fields.extend(value.map(|value| format!("{key}={value}")));
         };
         add("seg", self.part.clone());
-        add("ms", Some(left.as_millis().to_string()));
+        add("ms", Some(remaining.as_millis().to_string()));
         add("token", self.token.clone());
         if let Some(fill) = planned.fill {
-            // A member that is its own source fills nothing, as if none were named.
+            // A member that is its own source cannot fill from itself, so no source is stated.
             add("src", fill.source.filter(|source| *source != planned.member).and_then(name));
             add("keep", (fill.cache_rank > 0).then(|| fill.cache_rank.to_string()));
-            // Rounded down, so that a copy as old as the purge is not accepted.
+            // Rounded down, so that a copy exactly as old as the purge is not accepted.
             add("maxage", fill.max_age.map(|age| milliseconds(age).to_string()));
             let flags =
                 [(fill.join, "ride"), (fill.cached_only, "have-only"), (fill.background_refresh, "update")];
@@ -61,17 +61,17 @@
     }
 }
 
-/// A command, whose bytes are made when it is written.
+/// A command to a store. It is encoded only when it is written.
 #[derive(Clone, Debug)]
 pub(super) enum Command {
-    /// A request.
+    /// A request for an object.
     Pull(Arc<Pull>),
-    /// A health check, which runs nothing at the store.
+    /// A health check, which does not run a request at the store.
     Echo,
 }
 
 impl Command {
-    /// The kind of answer that it asks for.
+    /// The kind of answer that this command expects.
     pub fn expected(&self) -> ExpectedAnswer {
         match self {
             Command::Pull(pull) => ExpectedAnswer::Pull { have: pull.have.is_some() },
@@ -79,15 +79,16 @@
         }
     }
 
-    /// Its bytes, written now with this much time left. `name` returns a store's name on the wire.
+    /// Encodes the command, of which an attempt has this much time remaining. `name` returns the name of a store on the
+    /// wire.
     pub fn bytes(
         &self,
         planned: &PlannedAttempt,
-        left: Duration,
+        remaining: Duration,
         name: impl Fn(MemberId) -> Option<String>,
     ) -> Vec<u8> {
         match self {
-            Command::Pull(pull) => pull.bytes(planned, left, name),
+            Command::Pull(pull) => pull.bytes(planned, remaining, name),
             Command::Echo => format!("ECHO {:016x}\r\n", planned.request.0).into_bytes(),
         }
     }
