--- a/src/net/frontend/clients/connection.rs
+++ b/src/net/frontend/clients/connection.rs
@@ -73,7 +73,7 @@
                 // One byte over the bound marks that the client has sent too much.
                 Ok(_) => pipelined.resize(MAX_PIPELINED_BYTES + 1, 0),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Presence::Waiting,
-                Err(e) if retries.is_over(&e) => return Presence::Gone,
+                Err(e) if retries.is_connection_broken(&e) => return Presence::Gone,
                 Err(_) => {}
             }
         }
@@ -166,7 +166,7 @@
     /// The failure of the read, where the connection is broken.
     fn wait_for_input(&self, retries: &mut Retries, error: io::Error) -> io::Result<InputWait> {
         if self.is_overdue() {
-            return Ok(InputWait::Over);
+            return Ok(InputWait::TimedOut);
         }
         self.reading.set(false);
         let waited = retries.wait(&self.stream, error);
@@ -190,7 +190,7 @@
             match self.stream.inner().read(chunk) {
                 Ok(read) => return Ok(read),
                 Err(e) => match self.wait_for_input(&mut retries, e)? {
-                    InputWait::Over => return Ok(0),
+                    InputWait::TimedOut => return Ok(0),
                     InputWait::Continue => {}
                 },
             }
--- a/src/net/frontend/clients/eviction.rs
+++ b/src/net/frontend/clients/eviction.rs
@@ -148,7 +148,7 @@
 
     /// Evicts a connection, however few there are, if the process is really out of descriptors. Returns whether it did.
     pub(in crate::net) fn evict_if_out_of_descriptors(&self) -> bool {
-        descriptors::are_short() && self.evict_for_descriptor()
+        descriptors::are_exhausted() && self.evict_for_descriptor()
     }
 
     /// Evicts a connection of which no byte of a request has come. `false`: there is none.
--- a/src/net/frontend/http/accept.rs
+++ b/src/net/frontend/http/accept.rs
@@ -111,7 +111,7 @@
 
     fn handle_descriptor_shortage(&mut self, clients: &Clients) {
         self.descriptors += 1;
-        self.confirmed += u32::from(descriptors::is_socket_refused());
+        self.confirmed += u32::from(descriptors::is_socket_unavailable());
         let real = self.confirmed >= CONFIRMED_FAILURES || self.descriptors >= UNCONFIRMED_FAILURES;
         if !real {
             return may::coroutine::sleep(SHORT_PAUSE);
--- a/src/net/frontend/tls/session.rs
+++ b/src/net/frontend/tls/session.rs
@@ -119,7 +119,7 @@
             match self.read_encrypted(stream) {
                 Ok(_) => self.flush(stream)?,
                 Err(e) => match wait(&mut retries, e)? {
-                    InputWait::Over => return Ok(0),
+                    InputWait::TimedOut => return Ok(0),
                     InputWait::Continue => {}
                 },
             }
--- a/src/net/io_error.rs
+++ b/src/net/io_error.rs
@@ -1,21 +1,21 @@
-//! What a failed system call on a socket means: for the call itself, and for the peer that it was meant for.
+//! Classification of failed system calls on sockets: what the error means for the call itself and for the peer.
 //!
 //! The same errno means different things in different calls. `EHOSTUNREACH` at `connect` proves that nothing was sent,
-//! while at `read` a request may have run. At `accept` it belongs to a client that has gone again, and the listener is
-//! as good as before.
+//! while at `read` a request may have run. At `accept` it concerns a client that has disconnected again, and the listener
+//! is still usable.
 
 use may::io::WaitIo;
 use may::net::TcpStream;
 use std::io;
 use std::time::Duration;
 
-/// How long a call waits to be made again where this machine was short of memory or buffers for it.
-const SHORTAGE_PAUSE: Duration = Duration::from_millis(2);
+/// The delay before a call is retried when this machine lacked memory or buffers for it.
+const SHORTAGE_RETRY_DELAY: Duration = Duration::from_millis(2);
 
-/// How often a broken connection is called again until it is taken for one.
-const CONFIRMATIONS: u32 = 8;
+/// How many further calls on a broken connection must fail before it counts as broken.
+const BROKEN_CONFIRMATIONS: u32 = 8;
 
-/// How often an option is set before its connection is given up.
+/// The maximum number of attempts to set a socket option.
 const OPTION_ATTEMPTS: u32 = 8;
 
 /// The system call in which an error occurred.
@@ -23,7 +23,7 @@
 pub enum Call {
     /// `socket(2)`, with the registration of its descriptor for events.
     Socket,
-    /// `connect(2)`, until the connection is up. Callers that open the socket in the same step use this as well.
+    /// `connect(2)`, until the connection is established. Also used by callers that open the socket in the same step.
     Connect,
     /// `accept(2)`.
     Accept,
@@ -39,7 +39,7 @@
     Shutdown,
 }
 
-/// What this machine lacks.
+/// A resource that this machine lacks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resource {
     /// File descriptors, of the process or of the machine.
@@ -55,17 +55,17 @@
 /// What a failed call means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// The call did nothing and may be made again, once its socket is ready.
+    /// The call had no effect and may be retried once its socket is ready.
     Transient,
-    /// This machine is short of something. It says nothing of the peer, and no byte was sent or lost by this call.
+    /// This machine lacks a resource. The failure proves nothing about the peer, and the call sent and lost no byte.
     LocalShortage(Resource),
-    /// The peer refused the connection: nothing that was meant for it ran.
+    /// The peer refused the connection: no request ran.
     PeerRefused,
-    /// No connection came up: nothing ran, and the peer can't be reached from here.
+    /// No connection was established: no request ran, and the peer can't be reached from this machine.
     Unreachable,
-    /// An established connection is over: what was written on it may have run.
+    /// An established connection is broken: requests that were written on it may have run.
     Broken,
-    /// A programming error, a call that this system does not offer, or an errno that the manual pages don't list.
+    /// A programming error, a call that this system does not support, or an errno that the manual pages don't list.
     Unexpected,
 }
 
@@ -73,89 +73,89 @@
     /// Classifies an error of this call.
     pub fn of(call: Call, error: &io::Error) -> Failure {
         match error.raw_os_error() {
-            Some(errno) => of_errno(call, errno),
-            None => of_kind(call, error.kind()),
+            Some(errno) => classify_errno(call, errno),
+            None => classify_kind(call, error.kind()),
         }
     }
 
-    /// Whether the cause lies on this machine: the peer must not be held responsible. Only before a connection is up
-    /// does it also prove that nothing ran.
+    /// Whether the cause lies on this machine, so that the failure must not count against the peer. Only before the
+    /// connection is established does it also prove that no request ran.
     pub fn is_local(self) -> bool {
         matches!(self, Failure::Transient | Failure::LocalShortage(_) | Failure::Unexpected)
     }
 }
 
-/// Whether a call failed for want of descriptors, of this process or of the machine.
+/// Whether a call failed because this process or the machine is out of descriptors.
 pub fn out_of_descriptors(error: &io::Error) -> bool {
     Failure::of(Call::Connect, error) == Failure::LocalShortage(Resource::Descriptors)
 }
 
-/// Retries of one read or write on an established connection. Its owner bounds how long that goes on.
+/// The retry state of one read or write on an established connection. The owner limits the total time.
 pub(super) struct Retries {
     call: Call,
-    broken: u32,
+    broken_failures: u32,
 }
 
 impl Retries {
     pub(super) fn of(call: Call) -> Retries {
-        Retries { call, broken: 0 }
+        Retries { call, broken_failures: 0 }
     }
 
-    /// Waits until the failed call may be made again.
+    /// Waits until the failed call may be retried.
     ///
     /// # Errors
-    /// The error itself where the connection is over.
+    /// Returns the given error if the connection is broken.
     pub(super) fn wait(&mut self, stream: &TcpStream, error: io::Error) -> io::Result<()> {
-        if self.is_over(&error) {
+        if self.is_connection_broken(&error) {
             return Err(error);
         }
         if error.kind() == io::ErrorKind::WouldBlock {
             stream.wait_io();
         } else if matches!(Failure::of(self.call, &error), Failure::LocalShortage(_)) {
-            may::coroutine::sleep(SHORTAGE_PAUSE);
+            may::coroutine::sleep(SHORTAGE_RETRY_DELAY);
         }
         Ok(())
     }
 
-    /// Whether the connection is over by this failure. That it is broken, Linux reports once and then by each further
-    /// call, as an end or as EPIPE: so it counts only once that is confirmed.
-    pub(super) fn is_over(&mut self, error: &io::Error) -> bool {
+    /// Whether this failure shows that the connection is broken. Linux reports a broken connection once, and then as end
+    /// of stream or EPIPE at each further call, so it counts as broken only after that is confirmed.
+    pub(super) fn is_connection_broken(&mut self, error: &io::Error) -> bool {
         match Failure::of(self.call, error) {
             Failure::Transient | Failure::LocalShortage(_) => false,
             Failure::Broken if error.raw_os_error().is_some() => {
-                self.broken += 1;
-                self.broken > CONFIRMATIONS
+                self.broken_failures += 1;
+                self.broken_failures > BROKEN_CONFIRMATIONS
             }
             _ => true,
         }
     }
 }
 
-/// What follows once there may be more input.
+/// The result of waiting for more input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum InputWait {
-    /// The read is tried again.
+    /// The read is retried.
     Continue,
-    /// The time for the input is over: nothing more is read.
-    Over,
+    /// The time for the input has expired: no more is read.
+    TimedOut,
 }
 
-/// Turns off the delay of small writes. A connection without it is slower and works all the same.
+/// Sets `TCP_NODELAY`, which turns off the delay of small writes. If that fails, the connection is slower but works.
 pub(super) fn set_nodelay(stream: &TcpStream) {
     if let Err(e) = stream.set_nodelay(true) {
-        log::debug!("TCP_NODELAY: {e}");
+        log::debug!("failed to set TCP_NODELAY: {e}");
     }
 }
 
-/// Sets a socket's option that its owner relies on, such as a time-out: tried again a few times where it fails.
+/// Sets a socket option that the caller relies on, such as a timeout, with up to [`OPTION_ATTEMPTS`] attempts.
 ///
 /// # Errors
-/// The last failure.
+/// Returns the error of the last attempt.
 pub(super) fn retry_option(set: impl Fn() -> io::Result<()>) -> io::Result<()> {
     (1..OPTION_ATTEMPTS).find_map(|_| set().ok()).map_or_else(set, Ok)
 }
 
-/// Shortages mean the same in every call.
+/// The resource that an errno reports as lacking. Such an errno means the same in every call.
 fn shortage(errno: i32) -> Option<Resource> {
     match errno {
         libc::EMFILE | libc::ENFILE => Some(Resource::Descriptors),
@@ -164,7 +164,7 @@
     }
 }
 
-fn of_errno(call: Call, errno: i32) -> Failure {
+fn classify_errno(call: Call, errno: i32) -> Failure {
     if let Some(resource) = shortage(errno) {
         return Failure::LocalShortage(resource);
     }
@@ -172,24 +172,24 @@
         return Failure::Transient;
     }
     match call {
-        // ENOSPC is epoll_ctl(2)'s: the user may watch no more descriptors.
+        // ENOSPC comes from epoll_ctl(2): the user has reached the limit of watched descriptors.
         Call::Socket if errno == libc::ENOSPC => Failure::LocalShortage(Resource::Memory),
         Call::Socket | Call::EpollWait | Call::SetOption => Failure::Unexpected,
-        Call::Connect => at_connect(errno),
-        Call::Accept => at_accept(errno),
-        Call::Read | Call::Write | Call::Shutdown => on_connection(call, errno),
+        Call::Connect => classify_connect_errno(errno),
+        Call::Accept => classify_accept_errno(errno),
+        Call::Read | Call::Write | Call::Shutdown => classify_established_errno(call, errno),
     }
 }
 
-fn at_connect(errno: i32) -> Failure {
+fn classify_connect_errno(errno: i32) -> Failure {
     match errno {
         libc::EINPROGRESS | libc::EALREADY => Failure::Transient,
         libc::EADDRINUSE | libc::EADDRNOTAVAIL => Failure::LocalShortage(Resource::Addresses),
         libc::ENETUNREACH | libc::ENETDOWN => Failure::LocalShortage(Resource::Route),
-        // EAGAIN: no free local port, or no entry for the routing cache. ENOSPC: as with `Call::Socket`.
+        // EAGAIN: no free local port, or no free routing cache entry. ENOSPC: as with `Call::Socket`.
         libc::EAGAIN | libc::ENOSPC => Failure::LocalShortage(Resource::Memory),
         libc::ECONNREFUSED | libc::ECONNRESET | libc::ECONNABORTED => Failure::PeerRefused,
-        // EPERM and EACCES: a local firewall rule forbids this address, while others can be reached.
+        // EPERM and EACCES: a local firewall rule blocks this address, while others can be reached.
         libc::ETIMEDOUT
         | libc::EHOSTUNREACH
         | libc::EHOSTDOWN
@@ -201,8 +201,8 @@
     }
 }
 
-/// Linux passes network errors that are pending on the new socket: they are the client's, not the listener's.
-fn at_accept(errno: i32) -> Failure {
+/// Linux returns network errors that are pending on the accepted socket. They concern the client, not the listener.
+fn classify_accept_errno(errno: i32) -> Failure {
     match errno {
         libc::EAGAIN
         | libc::ECONNABORTED
@@ -223,10 +223,10 @@
     }
 }
 
-fn on_connection(call: Call, errno: i32) -> Failure {
+fn classify_established_errno(call: Call, errno: i32) -> Failure {
     match errno {
         libc::EAGAIN => Failure::Transient,
-        // A write with TCP Fast Open, before the connection is up.
+        // A write with TCP Fast Open, before the connection is established.
         libc::EALREADY if call == Call::Write => Failure::Transient,
         libc::ECONNRESET
         | libc::ECONNABORTED
@@ -249,8 +249,8 @@
     }
 }
 
-/// Errors that the standard library and callers make, without an errno.
-fn of_kind(call: Call, kind: io::ErrorKind) -> Failure {
+/// Classifies errors without an errno, which come from the standard library and from callers.
+fn classify_kind(call: Call, kind: io::ErrorKind) -> Failure {
     match (call, kind) {
         (_, io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => Failure::Transient,
         (_, io::ErrorKind::OutOfMemory) => Failure::LocalShortage(Resource::Memory),
