--- a/src/net/service.rs
+++ b/src/net/service.rs
@@ -1,5 +1,5 @@
-//! The interface between frontends and the gateway: the version in force, one request from its arrival to its end, and
-//! how client connections are drained.
+//! The interface between frontends and the gateway: the configuration in force, execution of requests, and draining of
+//! client connections.
 
 use crate::broker::PlannedAttempt;
 use crate::interface::{MemberId, Micros, Request};
@@ -12,31 +12,31 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What the attempts of a request ask of a store.
+/// The operation that the attempts of a request perform at a store.
 pub enum Work {
-    /// An object. Shared between attempts: each encodes it only when it is written.
+    /// Fetch an object. Shared by all attempts: each encodes it only when it is written.
     Pull(Arc<Pull>),
-    /// A health check, for a DNS look-up: whether the picked endpoint answers.
+    /// Check the health of the picked endpoint, for a DNS lookup.
     Check,
 }
 
 /// How a request ended.
 #[derive(Debug)]
 pub enum RequestEnd {
-    /// A store has answered.
+    /// A store answered the request.
     Served(Reply),
-    /// The endpoint of this attempt has passed its health check.
+    /// The endpoint of this attempt passed its health check.
     Checked(PlannedAttempt),
-    /// The request was shed, with the backoff in microseconds where the broker states one.
+    /// The request was shed, with the backoff in microseconds if the broker states one.
     Refused(Option<Micros>),
-    /// All attempts failed, or the deadline passed.
+    /// All attempts failed, or the deadline expired.
     Failed,
-    /// The client has closed its connection: there is nobody to answer.
+    /// The client closed its connection before an answer was sent.
     Gone,
 }
 
 impl RequestEnd {
-    /// The name of this end in logs and metrics.
+    /// The label of this end in logs and metrics.
     pub fn label(&self) -> &'static str {
         match self {
             RequestEnd::Served(_) => "served",
@@ -48,50 +48,51 @@
     }
 }
 
-/// What a look at a client's connection shows.
+/// The state of a client connection, as a check of it shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Presence {
-    /// It waits: all that it has sent is read, and the stream has not ended.
+    /// The client waits: all data that it sent is read, and the stream has not ended.
     Waiting,
-    /// It has sent more than one look reads, so the end of the stream may follow unseen.
+    /// The client has sent more data than one check reads, so the end of the stream may follow undetected.
     Sending,
-    /// It has closed or reset its connection.
+    /// The client has closed or reset its connection.
     Gone,
 }
 
 /// The client that waits for the answer to a request.
 pub trait Client {
-    /// Looks at its connection, without waiting.
+    /// Checks the client connection without blocking.
     fn presence(&self) -> Presence;
 
-    /// Whether it is not known to have closed or reset its connection.
+    /// Whether the client is not known to have closed or reset its connection.
     fn is_connected(&self) -> bool {
         self.presence() != Presence::Gone
     }
 }
 
-/// The draining of client connections. Each answer meanwhile closes its connection. Connections without a request are
-/// closed only after a grace period, so that as few requests as possible cross with a close.
+/// The draining state of client connections. During draining each answer closes its connection. Connections without a
+/// request are closed only after a grace period, so that as few clients as possible send a request while the gateway
+/// closes the connection.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionDraining {
-    /// How long the draining has gone on.
+    /// The time since draining began.
     pub elapsed: Duration,
-    /// After this long, connections that are idle between requests are closed.
+    /// How long connections that are idle between requests stay open.
     pub idle_grace: Duration,
-    /// After this long, connections without a complete request are closed.
+    /// How long connections without a complete request stay open.
     pub request_grace: Duration,
 }
 
-/// The gateway, as its frontends see it.
+/// The gateway as its frontends use it.
 pub trait Service: Send + Sync {
-    /// The version in force. A request takes it once and keeps it to its end.
+    /// The snapshot in force. A request obtains it once and uses it until its end.
     fn snapshot(&self) -> Arc<Snapshot>;
 
-    /// Says who calls and with which rights.
+    /// Authenticates and authorizes callers.
     fn guard(&self) -> &Guard;
 
-    /// Serves a request, and returns as soon as its end is known. `client` is looked at meanwhile: if it leaves, the
-    /// attempts of the request are withdrawn. `None`: nobody is there who could leave.
+    /// Serves a request, and returns as soon as its end is known. Meanwhile the connection of `client` is checked: if it
+    /// closes, the attempts of the request are withdrawn. `client` is `None` if no client connection can close.
     fn execute(
         &self,
         request: Request,
@@ -100,24 +101,24 @@
         client: Option<&dyn Client>,
     ) -> RequestEnd;
 
-    /// Counts a request as open until the permit is dropped: shutdown waits for that.
+    /// Counts a request as open until the permit is dropped. Shutdown waits for open requests.
     fn count_open_request(&self) -> Option<Permit>;
 
-    /// Notes that a request id has come into use, so that during an upgrade the other process learns of it.
+    /// Records that a request id is in use, so that it is reported to the other process during an upgrade.
     fn note_id_used(&self, id: u64);
 
-    /// How many microseconds a request may take before the process ends; [`Micros::MAX`] where no end is near.
+    /// The remaining time for requests before the process exits, in microseconds; [`Micros::MAX`] if it is not stopping.
     fn remaining_time(&self) -> Micros;
 
-    /// The draining of client connections; `None`: they stay open.
+    /// The draining state of client connections; `None` if they are not being drained.
     fn connection_draining(&self) -> Option<ConnectionDraining>;
 
     /// Whether operators are draining the gateway.
     fn is_drained(&self) -> bool;
 
-    /// Whether another process accepts the new connections.
+    /// Whether another process has taken over and accepts the new connections.
     fn is_handed_over(&self) -> bool;
 
-    /// The address of an endpoint, if it is in the list.
+    /// The address of an endpoint, if it is known.
     fn address(&self, member: MemberId) -> Option<SocketAddr>;
 }
