--- a/tests/stored_data/link.rs
+++ b/tests/stored_data/link.rs
@@ -1,8 +1,8 @@
-//! The upgrade's link between two processes of a gateway: frames recorded of the earlier program are replayed to a new
-//! process, which starts after the earlier one or before it.
+//! The upgrade link between two processes of a gateway. Frames recorded from the earlier program are replayed to a
+//! process of the current program, which starts after the earlier process or before it.
 
 use super::frame_form::{difference, equal};
-use super::parts::{jwks, signer};
+use super::identity_stand::{jwks, signer};
 use super::read_fixture;
 use super::stand::*;
 use sagearch::Learned;
@@ -14,8 +14,8 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Two issuers, as the recorded process had them.
-const OPERATORS: &str = r#"identity {
+/// The operator file, with the two issuers of the recorded process.
+const OPERATOR_FILE: &str = r#"identity {
     audience "gw"
     anonymous "red"
     issuer "https://issuer.example" {
@@ -35,22 +35,24 @@
     serde_json::from_slice(&read_fixture(name)).unwrap()
 }
 
-fn ids(value: &Value) -> Vec<u64> {
+/// The request ids in a frame.
+fn request_ids(value: &Value) -> Vec<u64> {
     value["used"].as_array().unwrap().iter().map(|id| id.as_u64().unwrap()).collect()
 }
 
-fn link_in(folder: &Folder) -> PathBuf {
+/// The path of the gateway's link socket.
+fn link_path(folder: &Folder) -> PathBuf {
     folder.0.join("sagearch-n0.link")
 }
 
-/// A new process, with a cache and an origin.
+/// Starts a gateway of the current program, with a cache and an origin.
 fn start_gateway(folder: &Folder) -> Gateway {
     folder.put("keys.json", &jwks(&[(&signer("k9"), json!({}))]));
     let (cache, origin) = (Store::new(1, |_, _| ok(b"x")), Store::new(9, |_, _| ok(b"done")));
     gateway_by(&Bus::default(), &[cache.cache(), origin.origin()], |config| {
         config.admin = Some((Ipv4Addr::LOCALHOST, 0).into());
         config.lasting = Some(folder.0.clone());
-        config.operators = operators_in(folder, OPERATORS, config);
+        config.operators = operators_in(folder, OPERATOR_FILE, config);
     })
 }
 
@@ -60,7 +62,7 @@
 }
 
 impl EarlierProcess {
-    fn over(stream: UnixStream) -> EarlierProcess {
+    fn new(stream: UnixStream) -> EarlierProcess {
         stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
         EarlierProcess { reader: BufReader::new(stream) }
     }
@@ -76,19 +78,19 @@
     }
 }
 
-fn status_of_request(at: SocketAddr, id: u64) -> u16 {
-    ask(at, "video/any", id).status
+fn status_of_request(address: SocketAddr, id: u64) -> u16 {
+    ask(address, "video/any", id).status
 }
 
-/// As an earlier process would: it is told new ids, and must have them known.
+/// Asserts that the gateway rejects all request ids of a recorded frame as used.
 fn assert_ids_are_used(gateway: &Gateway, frame: &str) {
-    for id in ids(&recorded(frame)) {
+    for id in request_ids(&recorded(frame)) {
         wait_for(&format!("id {id} of {frame} is used"), || status_of_request(gateway.listen, id) == 409);
     }
 }
 
 #[test]
-fn learned_state_read_from_a_recorded_frame_is_written_equal() {
+fn learned_state_of_a_recorded_frame_is_rewritten_equal() {
     let learned = &recorded("link/handover.json")["learned"];
     let read: Learned = serde_json::from_value(learned.clone()).unwrap();
     let written = serde_json::to_value(read).unwrap();
@@ -96,23 +98,26 @@
 }
 
 #[test]
-fn identity_state_read_from_a_recorded_frame_is_written_equal() {
+fn identity_state_of_a_recorded_frame_is_rewritten_equal() {
     let identity = &recorded("link/handover.json")["identity"];
-    let filled = |name: &str| {
+    let any_issuer_has = |name: &str| {
         let issuers = identity["issuers"].as_object().unwrap();
         issuers.values().any(|ends| !ends[name].as_array().unwrap().is_empty())
     };
-    assert!(filled("ended") && filled("retiring"), "the fixture holds both");
+    assert!(
+        any_issuer_has("ended") && any_issuer_has("retiring"),
+        "the fixture holds ended and retiring keys"
+    );
     let read: sagearch_identity::Handover = serde_json::from_value(identity.clone()).unwrap();
     assert_eq!(&serde_json::to_value(read).unwrap(), identity);
 }
 
 #[test]
-fn a_new_process_takes_over_recorded_frames_and_hands_the_same_on() {
+fn recorded_frames_are_applied_and_handed_to_the_next_process() {
     let folder = Folder::default();
-    let listener = UnixListener::bind(link_in(&folder)).unwrap();
+    let listener = UnixListener::bind(link_path(&folder)).unwrap();
     let earlier = std::thread::spawn(move || {
-        let mut earlier = EarlierProcess::over(listener.accept().unwrap().0);
+        let mut earlier = EarlierProcess::new(listener.accept().unwrap().0);
         earlier.send("link/handover.json");
         let status = earlier.receive();
         earlier.send("link/status.json");
@@ -123,35 +128,35 @@
     assert_eq!(difference(&recorded("link/status.json"), &status, "status"), None);
     assert_ids_are_used(&gateway, "link/handover.json");
     assert_ids_are_used(&gateway, "link/status.json");
-    // The earlier one ends; the next process is told what was taken over.
+    // The earlier process ends, and the next one receives the state that was applied.
     drop(earlier);
-    let mut next = EarlierProcess::over(UnixStream::connect(link_in(&folder)).unwrap());
+    let mut next = EarlierProcess::new(UnixStream::connect(link_path(&folder)).unwrap());
     let (before, now) = (recorded("link/handover.json"), next.receive());
     assert!(equal(&before["learned"], &now["learned"]), "{}\n{}", before["learned"], now["learned"]);
     assert_eq!(before["classes"], now["classes"]);
-    let known = ids(&now);
-    assert!(ids(&before).iter().all(|id| known.contains(id)), "{known:?}");
+    let known = request_ids(&now);
+    assert!(request_ids(&before).iter().all(|id| known.contains(id)), "{known:?}");
     let floor = |frame: &Value| frame["identity"]["floor"].as_u64().unwrap();
-    assert!(floor(&now) >= floor(&before), "the time that was judged by goes back");
+    assert!(floor(&now) >= floor(&before), "the time floor for validity checks does not decrease");
     for issuer in before["identity"]["issuers"].as_object().unwrap().keys() {
         let ended = |frame: &Value| frame["identity"]["issuers"][issuer]["ended"].clone();
         assert_eq!(ended(&before), ended(&now), "{issuer}");
     }
 }
 
-/// The order of a step back: the earlier program starts beside the new one, reads its frames and sends its own.
+/// A downgrade: the earlier program starts beside the current one, receives its frames and sends its own.
 #[test]
-fn a_new_process_writes_frames_in_the_recorded_form_and_reads_recorded_ones() {
+fn downgrade_exchanges_frames_in_the_recorded_form() {
     let folder = Folder::default();
     let gateway = start_gateway(&folder);
     for id in 1_000..1_010 {
         let text = request(&format!("video/o{id}"), id, 1_500, "Req-Kb: 40\r\n");
         assert_eq!(ask_text(gateway.listen, &text).unwrap().status, 200);
     }
-    let mut earlier = EarlierProcess::over(UnixStream::connect(link_in(&folder)).unwrap());
+    let mut earlier = EarlierProcess::new(UnixStream::connect(link_path(&folder)).unwrap());
     let handover = earlier.receive();
     assert_eq!(difference(&recorded("link/handover.json"), &handover, "handover"), None);
-    assert_eq!(ids(&handover).len(), 10);
+    assert_eq!(request_ids(&handover).len(), 10);
     earlier.send("link/status.json");
     assert_eq!(difference(&recorded("link/status.json"), &earlier.receive(), "status"), None);
     assert_ids_are_used(&gateway, "link/status.json");
--- a/tests/stored_data/relay_file.rs
+++ b/tests/stored_data/relay_file.rs
@@ -1,4 +1,4 @@
-//! The relay's file. A relay stores nothing else.
+//! The relay's configuration file, the only file of a relay.
 
 use super::fixture;
 use sagearch_operators::FileError;
@@ -13,14 +13,14 @@
 }
 
 #[test]
-fn a_recorded_relay_file_reads_as_it_did() {
+fn recorded_relay_file_reads_as_the_same_settings() {
     let file = relay(&fixture("relay/relay.kdl").to_string_lossy(), &Disk).unwrap();
-    let at = |address: &str| address.parse().unwrap();
-    let want = RelayFile {
+    let address = |text: &str| text.parse().unwrap();
+    let expected = RelayFile {
         name: "relay-1".into(),
-        listen: at("127.0.0.1:4300"),
-        upstreams: vec![at("127.0.0.1:4000"), at("127.0.0.1:4301")],
-        peers: vec![Peer { name: "relay-2".into(), address: at("127.0.0.1:4302") }],
+        listen: address("127.0.0.1:4300"),
+        upstreams: vec![address("127.0.0.1:4000"), address("127.0.0.1:4301")],
+        peers: vec![Peer { name: "relay-2".into(), address: address("127.0.0.1:4302") }],
         workers: 3,
         batch: 80,
         hold: 90,
@@ -33,5 +33,5 @@
         per_address: 70,
         forget_after: 61_000,
     };
-    assert_eq!(file, want);
+    assert_eq!(file, expected);
 }
