--- a/tests/cancellation.rs
+++ b/tests/cancellation.rs
@@ -1,12 +1,12 @@
-//! No attempt begins more than 0.1 s after its client has closed or cancelled, on real sockets.
+//! Cancellation on real sockets: no attempt begins more than 0.1 s after its client has closed or cancelled.
 
+#[path = "stand/identity.rs"]
+mod identity_stand;
 #[path = "stand/late.rs"]
 mod late;
-#[path = "stand/identity.rs"]
-mod parts;
 mod stand;
+use identity_stand::{Authority, Tls, client_config};
 use late::{Arrival, LateStore};
-use parts::{Authority, Tls, client_config};
 use rstest::rstest;
 use sagearch::net::lifecycle::gateway::Gateway;
 use serde_json::{Value, json};
@@ -18,63 +18,68 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long after its client's end an attempt may still begin.
-const GRACE: Duration = Duration::from_millis(100);
+/// An attempt may begin this long after its client's connection has ended.
+const MAX_ATTEMPT_DELAY: Duration = Duration::from_millis(100);
 const OBJECT: &str = "video/7f3a/block-3";
 const WRITE: &str = "submit/f";
-const WAIT_MS: u64 = 6_000;
+const DEADLINE_MS: u64 = 6_000;
 
-/// How a client speaks.
+/// The transport of a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Transport {
     Plain,
     Secure,
 }
 
-/// How a client ends.
+/// How a client ends its connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Departure {
+enum ClientEnd {
     Closes,
     Resets,
-    /// Says that it is done (`close_notify`, or a half-close), and keeps its socket open.
-    Ends,
+    /// Sends `close_notify` or a half-close, and keeps its socket open.
+    ClosesWriteSide,
 }
 
-/// One gateway, and what its clients need to call it.
-struct Front {
+/// A gateway, and the settings with which its clients connect.
+struct GatewayFixture {
     gateway: Gateway,
     config: Option<Arc<rustls::ClientConfig>>,
     _folder: Folder,
 }
 
-impl Front {
-    fn new(transport: Transport, bus: &Bus, instances: &[Value]) -> Front {
+impl GatewayFixture {
+    fn new(transport: Transport, bus: &Bus, instances: &[Value]) -> GatewayFixture {
         let folder = Folder::default();
         if transport == Transport::Plain {
-            return Front { gateway: gateway(bus, instances), config: None, _folder: folder };
+            return GatewayFixture { gateway: gateway(bus, instances), config: None, _folder: folder };
         }
         let authority = Authority::new("ca");
         folder.put_pair("gw", &authority.server(&["gw.test"]));
         let file = "tls { clients { certificate \"gw.pem\" key=\"gw.key\"; }; }";
         let gateway = gateway_under(bus, instances, &folder, file);
-        Front { gateway, config: Some(Arc::new(client_config(&[&authority], None))), _folder: folder }
+        GatewayFixture {
+            gateway,
+            config: Some(Arc::new(client_config(&[&authority], None))),
+            _folder: folder,
+        }
     }
 
     fn send(&self, text: &str) -> Client {
-        let at = self.gateway.listen;
+        let address = self.gateway.listen;
         let mut client = match &self.config {
-            None => Client::Plain(TcpStream::connect(at).unwrap()),
-            Some(config) => Client::Secure(Box::new(Tls::connect(at, config, "gw.test").unwrap())),
+            None => Client::Plain(TcpStream::connect(address).unwrap()),
+            Some(config) => Client::Secure(Box::new(Tls::connect(address, config, "gw.test").unwrap())),
         };
         client.write(text.as_bytes());
         client
     }
 
     fn wait_until_idle(&self) {
-        wait_for("the request's end", || self.gateway.core.broker().open_requests() == 0);
+        wait_for("no request is open", || self.gateway.core.broker().open_requests() == 0);
     }
 }
 
+/// A client's connection to the gateway.
 enum Client {
     Plain(TcpStream),
     Secure(Box<Tls>),
@@ -91,19 +96,19 @@
         }
     }
 
-    /// Goes, and says when. What is returned is to be kept until the test's end.
-    fn leave(mut self, departure: Departure) -> (Instant, Option<Client>) {
+    /// Ends the connection, and returns when. A returned client keeps its socket open until it is dropped.
+    fn end(mut self, client_end: ClientEnd) -> (Instant, Option<Client>) {
         let stream = match &mut self {
             Client::Plain(stream) => &*stream,
             Client::Secure(tls) => &tls.0.get_ref().sock,
         };
-        match departure {
-            Departure::Closes => drop(self),
-            Departure::Resets => {
+        match client_end {
+            ClientEnd::Closes => drop(self),
+            ClientEnd::Resets => {
                 socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO)).unwrap();
                 drop(self);
             }
-            Departure::Ends => {
+            ClientEnd::ClosesWriteSide => {
                 match &mut self {
                     Client::Plain(stream) => stream.shutdown(std::net::Shutdown::Write).unwrap(),
                     Client::Secure(tls) => {
@@ -119,32 +124,32 @@
     }
 }
 
-/// Four caches, a parent and the origin, which log when each attempt comes.
-struct Fleet {
-    stores: Vec<Store>,
+/// Four caches, a parent and the origin, which record when each attempt arrives.
+struct Stores {
+    list: Vec<Store>,
     attempts: Arc<Mutex<Vec<Arrival>>>,
 }
 
-impl Fleet {
-    fn new(does: impl Fn(&str) -> Do + Clone + Send + Sync + 'static) -> Fleet {
+impl Stores {
+    fn new(respond: impl Fn(&str) -> Do + Clone + Send + Sync + 'static) -> Stores {
         let attempts: Arc<Mutex<Vec<Arrival>>> = Arc::default();
         let store = |id| {
-            let (does, attempts) = (does.clone(), attempts.clone());
+            let (respond, attempts) = (respond.clone(), attempts.clone());
             Store::new(id, move |line, _| {
                 if !line.starts_with("PULL") {
                     return Do::Nothing;
                 }
                 attempts.lock().unwrap().push(Arrival { at: Instant::now(), line: line.into() });
-                does(line)
+                respond(line)
             })
         };
-        let stores = (1..=6).map(store).collect();
-        Fleet { stores, attempts }
+        let list = (1..=6).map(store).collect();
+        Stores { list, attempts }
     }
 
-    fn listed(&self) -> Vec<Value> {
-        let caches = self.stores[..4].iter().map(Store::cache);
-        caches.chain([self.stores[4].entry("parent", "hub", "up"), self.stores[5].origin()]).collect()
+    fn entries(&self) -> Vec<Value> {
+        let caches = self.list[..4].iter().map(Store::cache);
+        caches.chain([self.list[4].entry("parent", "hub", "up"), self.list[5].origin()]).collect()
     }
 
     fn attempts(&self, id: u64) -> Vec<Arrival> {
@@ -154,10 +159,14 @@
     }
 }
 
-fn assert_none_began_after(attempts: &[Arrival], left: Instant) {
+fn assert_no_late_attempt(attempts: &[Arrival], closed_at: Instant) {
     for attempt in attempts {
-        let after = attempt.at.saturating_duration_since(left);
-        assert!(after <= GRACE, "{after:?} after its client's end: {}", attempt.line);
+        let delay = attempt.at.saturating_duration_since(closed_at);
+        assert!(
+            delay <= MAX_ATTEMPT_DELAY,
+            "began {delay:?} after its client's end, at most {MAX_ATTEMPT_DELAY:?} allowed: {}",
+            attempt.line
+        );
     }
 }
 
@@ -165,141 +174,148 @@
     Do::Answer("refused", "-", Vec::new())
 }
 
-/// The origin turns a write away, and a retry waits for its backoff. The client goes during that, or stays.
+/// The origin refuses a write, and a retry waits for its backoff. A client that closes during the backoff gets no retry;
+/// one that stays gets it.
 #[rstest]
-#[case::plain_closes(Transport::Plain, Some(Departure::Closes))]
-#[case::plain_resets(Transport::Plain, Some(Departure::Resets))]
-#[case::plain_ends(Transport::Plain, Some(Departure::Ends))]
-#[case::secure_closes(Transport::Secure, Some(Departure::Closes))]
-#[case::secure_resets(Transport::Secure, Some(Departure::Resets))]
-#[case::secure_ends(Transport::Secure, Some(Departure::Ends))]
+#[case::plain_closes(Transport::Plain, Some(ClientEnd::Closes))]
+#[case::plain_resets(Transport::Plain, Some(ClientEnd::Resets))]
+#[case::plain_ends(Transport::Plain, Some(ClientEnd::ClosesWriteSide))]
+#[case::secure_closes(Transport::Secure, Some(ClientEnd::Closes))]
+#[case::secure_resets(Transport::Secure, Some(ClientEnd::Resets))]
+#[case::secure_ends(Transport::Secure, Some(ClientEnd::ClosesWriteSide))]
 #[case::plain_stays(Transport::Plain, None)]
 #[case::secure_stays(Transport::Secure, None)]
-fn backoff_of_a_client_that_left_is_followed_by_no_retry(
+fn client_end_during_backoff_prevents_the_retry(
     #[case] transport: Transport,
-    #[case] departure: Option<Departure>,
+    #[case] client_end: Option<ClientEnd>,
 ) {
-    let (bus, fleet) =
-        (Bus::default(), Fleet::new(|line| if line.contains("obj=f,") { refused() } else { ok(b"x") }));
-    let front = Front::new(transport, &bus, &fleet.listed());
-    // What the origin serves earns the budget for retries.
+    let (bus, stores) =
+        (Bus::default(), Stores::new(|line| if line.contains("obj=f,") { refused() } else { ok(b"x") }));
+    let fixture = GatewayFixture::new(transport, &bus, &stores.entries());
+    // Successful requests fill the retry budget.
     for id in 100..160 {
-        let mut client = front.send(&request("submit/warm", id, WAIT_MS, "Req-Token: t\r\n"));
-        wait_for("it is served", || fleet.attempts(id).len() == 1);
-        front.wait_until_idle();
+        let mut client = fixture.send(&request("submit/warm", id, DEADLINE_MS, "Req-Token: t\r\n"));
+        wait_for("the request is sent to a store", || stores.attempts(id).len() == 1);
+        fixture.wait_until_idle();
         client.write(b"");
     }
-    let client = front.send(&request(WRITE, 1, WAIT_MS, "Req-Token: t\r\n"));
-    wait_for("the first attempt", || fleet.attempts(1).len() == 1);
-    let Some(departure) = departure else {
-        return wait_for("the retry", || fleet.attempts(1).len() > 1);
+    let client = fixture.send(&request(WRITE, 1, DEADLINE_MS, "Req-Token: t\r\n"));
+    wait_for("the first attempt", || stores.attempts(1).len() == 1);
+    let Some(client_end) = client_end else {
+        return wait_for("the retry", || stores.attempts(1).len() > 1);
     };
-    let (left, _kept) = client.leave(departure);
-    front.wait_until_idle();
+    let (closed_at, _open_client) = client.end(client_end);
+    fixture.wait_until_idle();
     thread::sleep(Duration::from_millis(400));
-    assert_none_began_after(&fleet.attempts(1), left);
+    assert_no_late_attempt(&stores.attempts(1), closed_at);
 }
 
-/// Behind the open request come a second one, or so many bytes that its end can't be read at once; then it goes. The
-/// store answers later, in a way that would lead to a retry.
+/// The client sends a second request behind the open one, in some cases with so many bytes that its end cannot be read
+/// at once, and ends its connection. The store answers later, with a refusal that would lead to a retry.
 #[rstest]
-#[case::plain_request(Transport::Plain, 0, Departure::Closes)]
-#[case::plain_request_and_reset(Transport::Plain, 0, Departure::Resets)]
-#[case::plain_flood(Transport::Plain, 24_000_000, Departure::Closes)]
-#[case::secure_request(Transport::Secure, 0, Departure::Closes)]
-#[case::secure_request_and_close_notify(Transport::Secure, 0, Departure::Ends)]
-#[case::secure_many_bytes(Transport::Secure, 40_000, Departure::Closes)]
-#[case::secure_many_bytes_and_close_notify(Transport::Secure, 40_000, Departure::Ends)]
-#[case::secure_flood(Transport::Secure, 2_000_000, Departure::Closes)]
-fn client_that_left_behind_a_pipelined_request_gets_no_attempt(
+#[case::plain_request(Transport::Plain, 0, ClientEnd::Closes)]
+#[case::plain_request_and_reset(Transport::Plain, 0, ClientEnd::Resets)]
+#[case::plain_flood(Transport::Plain, 24_000_000, ClientEnd::Closes)]
+#[case::secure_request(Transport::Secure, 0, ClientEnd::Closes)]
+#[case::secure_request_and_close_notify(Transport::Secure, 0, ClientEnd::ClosesWriteSide)]
+#[case::secure_many_bytes(Transport::Secure, 40_000, ClientEnd::Closes)]
+#[case::secure_many_bytes_and_close_notify(Transport::Secure, 40_000, ClientEnd::ClosesWriteSide)]
+#[case::secure_flood(Transport::Secure, 2_000_000, ClientEnd::Closes)]
+fn client_end_behind_a_pipelined_request_prevents_attempts(
     #[case] transport: Transport,
-    #[case] behind: usize,
-    #[case] departure: Departure,
+    #[case] trailing_bytes: usize,
+    #[case] client_end: ClientEnd,
 ) {
-    let (bus, gone) = (Bus::default(), Arc::new(Mutex::new(None::<Instant>)));
-    let left = gone.clone();
-    let fleet = Fleet::new(move |_| {
-        wait_for("the client's end", || left.lock().unwrap().is_some_and(|at| at.elapsed() > GRACE));
+    let (bus, ended_at) = (Bus::default(), Arc::new(Mutex::new(None::<Instant>)));
+    let ended_at_for_stores = ended_at.clone();
+    let stores = Stores::new(move |_| {
+        wait_for("the client's connection has ended", || {
+            ended_at_for_stores.lock().unwrap().is_some_and(|ended| ended.elapsed() > MAX_ATTEMPT_DELAY)
+        });
         refused()
     });
-    let front = Front::new(transport, &bus, &fleet.listed());
-    let mut client = front.send(&request(OBJECT, 1, WAIT_MS, ""));
-    wait_for("the attempt", || fleet.attempts(1).len() == 1);
-    client.write(request("video/other", 2, WAIT_MS, "").as_bytes());
-    client.write(&vec![b'x'; behind]);
-    let (left, _kept) = client.leave(departure);
-    *gone.lock().unwrap() = Some(left);
-    front.wait_until_idle();
+    let fixture = GatewayFixture::new(transport, &bus, &stores.entries());
+    let mut client = fixture.send(&request(OBJECT, 1, DEADLINE_MS, ""));
+    wait_for("the attempt", || stores.attempts(1).len() == 1);
+    client.write(request("video/other", 2, DEADLINE_MS, "").as_bytes());
+    client.write(&vec![b'x'; trailing_bytes]);
+    let (closed_at, _open_client) = client.end(client_end);
+    *ended_at.lock().unwrap() = Some(closed_at);
+    fixture.wait_until_idle();
     thread::sleep(Duration::from_millis(400));
-    assert_none_began_after(&[fleet.attempts(1), fleet.attempts(2)].concat(), left);
+    assert_no_late_attempt(&[stores.attempts(1), stores.attempts(2)].concat(), closed_at);
 }
 
-/// The client sends a part of its body, or all of it, and goes before that is read.
+/// The client sends a part of its body, or all of it, and closes before the gateway has read it.
 #[rstest]
-#[case::half_plain(Transport::Plain, 20_000)]
-#[case::all_plain(Transport::Plain, 40_000)]
-#[case::half_secure(Transport::Secure, 20_000)]
-#[case::all_secure(Transport::Secure, 40_000)]
-fn client_that_left_within_its_body_gets_no_late_attempt(#[case] transport: Transport, #[case] sent: usize) {
-    let (bus, fleet) = (Bus::default(), Fleet::new(|_| refused()));
-    let front = Front::new(transport, &bus, &fleet.listed());
-    let head = request(WRITE, 1, WAIT_MS, "Req-Token: t\r\nContent-Length: 40000\r\n");
-    let mut client = front.send(&head);
-    client.write(&vec![b'x'; sent]);
-    let (left, _kept) = client.leave(Departure::Closes);
+#[case::partial_plain(Transport::Plain, 20_000)]
+#[case::complete_plain(Transport::Plain, 40_000)]
+#[case::partial_secure(Transport::Secure, 20_000)]
+#[case::complete_secure(Transport::Secure, 40_000)]
+fn client_end_within_its_body_prevents_late_attempts(
+    #[case] transport: Transport,
+    #[case] sent_bytes: usize,
+) {
+    let (bus, stores) = (Bus::default(), Stores::new(|_| refused()));
+    let fixture = GatewayFixture::new(transport, &bus, &stores.entries());
+    let head = request(WRITE, 1, DEADLINE_MS, "Req-Token: t\r\nContent-Length: 40000\r\n");
+    let mut client = fixture.send(&head);
+    client.write(&vec![b'x'; sent_bytes]);
+    let (closed_at, _open_client) = client.end(ClientEnd::Closes);
     thread::sleep(Duration::from_millis(600));
-    assert_none_began_after(&fleet.attempts(1), left);
-    if sent < 40_000 {
-        assert!(fleet.attempts(1).is_empty());
+    assert_no_late_attempt(&stores.attempts(1), closed_at);
+    if sent_bytes < 40_000 {
+        assert!(stores.attempts(1).is_empty());
     }
 }
 
-fn connect_late(config: &mut Value, sockets: usize) {
+fn allow_slow_connections(config: &mut Value, sockets: usize) {
     config["settings"]["Limits"]["ConnectTimeout"] = json!(4_000_000);
     config["limits"]["sockets"] = json!(sockets);
 }
 
-/// The process is stopped while connections are dialled, each for one attempt or with more that wait for it. The clients
-/// go, the connections come up, and the process goes on long after that.
+/// The process is paused while it dials connections to a store, for one attempt or with more attempts queued behind it.
+/// The clients close, the connections are established, and the process resumes long after that.
 #[rstest]
-#[case::dialling(1, Some(Departure::Closes))]
-#[case::dialling_and_reset(1, Some(Departure::Resets))]
+#[case::dialling(1, Some(ClientEnd::Closes))]
+#[case::dialling_and_reset(1, Some(ClientEnd::Resets))]
 #[case::dialling_and_stays(1, None)]
-#[case::queued(34, Some(Departure::Closes))]
+#[case::queued(34, Some(ClientEnd::Closes))]
 #[case::queued_and_stays(34, None)]
-fn stopped_process_begins_nothing_for_clients_that_left(
+fn resumed_process_begins_no_attempt_for_closed_clients(
     #[case] clients: u64,
-    #[case] departure: Option<Departure>,
+    #[case] client_end: Option<ClientEnd>,
 ) {
     let (bus, late) = (Bus::default(), LateStore::new());
     bus.list(&[late.listed_as(Store::new(9, |_, _| Do::Nothing).origin())]);
     let command = Command::new(env!("CARGO_BIN_EXE_sagearch"));
-    let program = Program::start_where(&bus, command, |config| connect_late(config, 96));
-    wait_for("it listens", || TcpStream::connect(program.at).is_ok());
-    let ask = |id| Client::Plain(send(program.at, &request("once/f", id, WAIT_MS, "Req-Kb: 40000\r\n")));
-    let clients: Vec<Client> = (1..=clients).map(ask).collect();
+    let program = Program::start_where(&bus, command, |config| allow_slow_connections(config, 96));
+    wait_for("the gateway listens", || TcpStream::connect(program.at).is_ok());
+    let connect =
+        |id| Client::Plain(send(program.at, &request("once/f", id, DEADLINE_MS, "Req-Kb: 40000\r\n")));
+    let clients: Vec<Client> = (1..=clients).map(connect).collect();
     thread::sleep(Duration::from_millis(300));
     program.paused(true);
-    let (mut left, mut staying) = (Instant::now(), Vec::new());
+    let (mut closed_at, mut staying) = (Instant::now(), Vec::new());
     for client in clients {
-        match departure {
-            Some(departure) => left = client.leave(departure).0,
+        match client_end {
+            Some(client_end) => closed_at = client.end(client_end).0,
             None => staying.push(client),
         }
     }
     late.come_up();
-    wait_for("the connections", || late.connections() > 0);
-    thread::sleep(GRACE * 2);
+    wait_for("a connection to the store", || late.connections() > 0);
+    thread::sleep(MAX_ATTEMPT_DELAY * 2);
     program.paused(false);
     if !staying.is_empty() {
         return wait_for("all attempts", || late.attempts() == staying.len());
     }
     thread::sleep(Duration::from_millis(600));
-    assert_none_began_after(&late.arrivals(), left);
-    assert!(served(program.at).is_some(), "others are answered");
+    assert_no_late_attempt(&late.arrivals(), closed_at);
+    assert!(status_without_store(program.at).is_some(), "other clients are answered");
 }
 
-/// The status of a request that is no store's.
-fn served(at: SocketAddr) -> Option<u16> {
-    ask_text(at, "GET /status/live HTTP/1.1\r\n\r\n").map(|answer| answer.status)
+/// The status of a request that the gateway answers without a store.
+fn status_without_store(address: SocketAddr) -> Option<u16> {
+    ask_text(address, "GET /status/live HTTP/1.1\r\n\r\n").map(|answer| answer.status)
 }
--- a/tests/connection_ends.rs
+++ b/tests/connection_ends.rs
@@ -1,10 +1,10 @@
-//! Every way in which a connection ends after bytes were read from it: a whole request has its answer, and half a
-//! request is answered with 408, or with 503 where the table is full.
+//! Ends of connections from which bytes were read: a complete request is answered, and a partial one is answered with
+//! 408, or with 503 if the connection table is full.
 
 #[path = "stand/identity.rs"]
-mod parts;
+mod identity_stand;
 mod stand;
-use parts::*;
+use identity_stand::*;
 use rstest::rstest;
 use sagearch::net::lifecycle::gateway::Gateway;
 use serde_json::json;
@@ -16,26 +16,26 @@
 use std::time::{Duration, Instant};
 
 const OBJECT: &str = "video/7f3a/block-3";
-/// Descriptors of a small gateway, and the clients that it then has places for.
-const SMALL: usize = 64;
-const PLACES: usize = SMALL * 2 / 5;
-/// The wait of requests that keep their places while a test runs.
-const LONG_WAIT_MS: u64 = 4_000;
+/// File descriptors of a small gateway, and the client connections that its table then holds.
+const DESCRIPTOR_LIMIT: usize = 64;
+const CONNECTION_SLOTS: usize = DESCRIPTOR_LIMIT * 2 / 5;
+/// The deadline of requests that keep their slots while a test runs.
+const LONG_DEADLINE_MS: u64 = 4_000;
 
 /// A store that never answers for objects named `slow`.
 fn store() -> Store {
     Store::new(1, |line, _| if line.contains("obj=slow") { Do::Nothing } else { ok(b"x") })
 }
 
-/// Takes every place with a request that waits.
-fn fill(gateway: &Gateway, cache: &Store) -> Vec<TcpStream> {
-    let text = |id: u64| request(&format!("video/slow{id}"), id, LONG_WAIT_MS, "Req-Kb: 40000\r\n");
-    let waiting = (0..PLACES as u64).map(|id| send(gateway.listen, &text(id))).collect();
-    wait_for("the attempts", || cache.pulls() == PLACES);
+/// Occupies every slot of the connection table with a waiting request.
+fn fill_table(gateway: &Gateway, cache: &Store) -> Vec<TcpStream> {
+    let text = |id: u64| request(&format!("video/slow{id}"), id, LONG_DEADLINE_MS, "Req-Kb: 40000\r\n");
+    let waiting = (0..CONNECTION_SLOTS as u64).map(|id| send(gateway.listen, &text(id))).collect();
+    wait_for("the attempts", || cache.pulls() == CONNECTION_SLOTS);
     waiting
 }
 
-/// What follows the answer: an end, and no reset.
+/// Whether the connection ends with a close, and not with a reset.
 fn ends_cleanly(stream: &TcpStream) -> bool {
     let mut stream = stream;
     stream.read(&mut [0]).is_ok_and(|read| read == 0)
@@ -46,33 +46,33 @@
 }
 
 #[rstest]
-#[case::nothing(String::new())]
-#[case::half_a_request("GET /svc/video/a HTTP/1.1\r\nReq-Id: 0".into())]
-#[case::a_request(request(OBJECT, 1_000, 1_500, ""))]
-#[case::a_request_with_a_body(request("submit/f", 1_000, 1_500, "Req-Token: t\r\nContent-Length: 48000\r\n") + &"x".repeat(48_000))]
-#[case::a_body_that_awaits_a_word(request(
+#[case::no_bytes(String::new())]
+#[case::partial_request("GET /svc/video/a HTTP/1.1\r\nReq-Id: 0".into())]
+#[case::request(request(OBJECT, 1_000, 1_500, ""))]
+#[case::request_with_body(request("submit/f", 1_000, 1_500, "Req-Token: t\r\nContent-Length: 48000\r\n") + &"x".repeat(48_000))]
+#[case::body_awaiting_100_continue(request(
     "submit/f",
     1_000,
     1_500,
     "Content-Length: 9\r\nExpect: 100-continue\r\n"
 ))]
-fn client_of_a_full_table_is_refused_without_a_reset(#[case] text: String) {
+fn client_at_a_full_table_is_rejected_without_a_reset(#[case] text: String) {
     let (bus, cache) = (Bus::default(), store());
-    let gateway = gateway_with(&bus, &[cache.large_cache()], SMALL, None);
-    let _waiting = fill(&gateway, &cache);
+    let gateway = gateway_with(&bus, &[cache.large_cache()], DESCRIPTOR_LIMIT, None);
+    let _waiting = fill_table(&gateway, &cache);
     let rejected = send(gateway.listen, &text);
-    let answer = read_answer(&rejected, Instant::now()).expect("an answer");
+    let answer = read_answer(&rejected, Instant::now()).expect("the gateway answers");
     assert_eq!((answer.status, answer.fields["retry-after"].as_str()), (503, "1"));
     assert!(answer.took < Duration::from_millis(600), "{:?}", answer.took);
     assert!(ends_cleanly(&rejected));
 }
 
-/// More come at once than may be refused at once.
+/// More requests arrive at once than the gateway rejects at once.
 #[test]
-fn burst_at_a_full_table_is_refused_request_by_request() {
+fn burst_at_a_full_table_is_rejected_request_by_request() {
     let (bus, cache) = (Bus::default(), store());
-    let gateway = gateway_with(&bus, &[cache.large_cache()], SMALL, None);
-    let _waiting = fill(&gateway, &cache);
+    let gateway = gateway_with(&bus, &[cache.large_cache()], DESCRIPTOR_LIMIT, None);
+    let _waiting = fill_table(&gateway, &cache);
     let burst: Vec<TcpStream> =
         (0..40).map(|id| send(gateway.listen, &request(OBJECT, 1_000 + id, 1_500, ""))).collect();
     let statuses: Vec<_> = burst.iter().map(status).collect();
@@ -80,77 +80,78 @@
 }
 
 #[test]
-fn half_request_that_makes_way_in_a_full_table_gets_408() {
+fn partial_request_evicted_from_a_full_table_gets_408() {
     let (bus, cache) = (Bus::default(), store());
-    let gateway = gateway_with(&bus, &[cache.large_cache()], SMALL, None);
-    let half: Vec<TcpStream> =
-        (0..PLACES).map(|_| send(gateway.listen, "GET /svc/video/a HTTP/1.1\r\n")).collect();
+    let gateway = gateway_with(&bus, &[cache.large_cache()], DESCRIPTOR_LIMIT, None);
+    let partial: Vec<TcpStream> =
+        (0..CONNECTION_SLOTS).map(|_| send(gateway.listen, "GET /svc/video/a HTTP/1.1\r\n")).collect();
     thread::sleep(Duration::from_millis(200));
     assert_eq!(ask(gateway.listen, OBJECT, 1_000).status, 200);
-    assert!(half.iter().all(|stream| status(stream) == Some(408)));
+    assert!(partial.iter().all(|stream| status(stream) == Some(408)));
 }
 
-/// The measured case: half requests of one source hold 600 connections, more than the table has places for.
+/// Partial requests of one source hold 600 connections, more than the table has slots. The connections are opened
+/// between ordinary requests.
 #[test]
-fn ordinary_requests_beside_600_half_ones_are_all_answered() {
+fn ordinary_requests_among_600_partial_ones_are_all_answered() {
     let (bus, cache) = (Bus::default(), store());
     let gateway = gateway(&bus, &[cache.large_cache()]);
-    let mut half = Vec::new();
+    let mut partial = Vec::new();
     let mut answered = 0;
     for round in 0..50 {
-        half.extend((0..12).filter_map(|_| TcpStream::connect(gateway.listen).ok()));
-        half.iter().rev().take(12).for_each(|mut stream| {
-            // One that was refused meanwhile may not take it.
+        partial.extend((0..12).filter_map(|_| TcpStream::connect(gateway.listen).ok()));
+        partial.iter().rev().take(12).for_each(|mut stream| {
+            // The write may fail on a connection that was rejected meanwhile.
             let _ = stream.write_all(b"GET /svc/video/a HTTP/1.1\r\nReq-");
         });
         let text = request(&format!("video/o{round}"), 1_000 + round, 1_500, "");
         answered += usize::from(ask_text(gateway.listen, &text).is_some());
     }
-    assert_eq!((half.len(), answered), (600, 50));
+    assert_eq!((partial.len(), answered), (600, 50));
 }
 
-/// The same where all of them stand before the first ordinary request comes.
+/// All 600 partial requests are open before the first ordinary request arrives.
 #[test]
-fn ordinary_requests_behind_600_half_ones_are_all_answered() {
+fn ordinary_requests_after_600_partial_ones_are_all_answered() {
     let (bus, cache) = (Bus::default(), store());
     let gateway = gateway(&bus, &[cache.large_cache()]);
-    let _half: Vec<TcpStream> =
+    let _partial: Vec<TcpStream> =
         (0..600).map(|_| send(gateway.listen, "GET /svc/video/a HTTP/1.1\r\nReq-")).collect();
-    let asked: Vec<TcpStream> = (0..50)
+    let ordinary: Vec<TcpStream> = (0..50)
         .map(|id| send(gateway.listen, &request(&format!("video/o{id}"), 1_000 + id, 1_500, "")))
         .collect();
-    let answered = asked.iter().filter_map(status).count();
+    let answered = ordinary.iter().filter_map(status).count();
     assert_eq!(answered, 50);
 }
 
-/// Bytes that still come must not cost the client its answer.
+/// Bytes that arrive after the answer must not reset the connection before the client has read it.
 #[test]
-fn half_request_that_drips_on_gets_408_and_no_reset() {
+fn partial_request_with_trickling_bytes_gets_408_and_no_reset() {
     let (bus, cache) = (Bus::default(), store());
     let gateway = gateway(&bus, &[cache.cache()]);
     let mut stream = send(gateway.listen, "GET /svc/video/a HTTP/1.1\r\nX: ");
     stream.set_read_timeout(Some(Duration::from_millis(20))).unwrap();
-    let (mut text, mut piece, began) = (Vec::new(), [0; 512], Instant::now());
+    let (mut text, mut buffer, started) = (Vec::new(), [0; 512], Instant::now());
     let end = loop {
         let _ = stream.write_all(b"x");
-        match stream.read(&mut piece) {
-            Ok(read) if read > 0 => text.extend_from_slice(&piece[..read]),
+        match stream.read(&mut buffer) {
+            Ok(read) if read > 0 => text.extend_from_slice(&buffer[..read]),
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-            // It goes on writing for a while, as one that has not read the answer yet.
-            Ok(_) if began.elapsed() < Duration::from_millis(2_900) => {
+            // The client goes on writing for a while, like one that has not read the answer yet.
+            Ok(_) if started.elapsed() < Duration::from_millis(2_900) => {
                 thread::sleep(Duration::from_millis(20));
             }
             end => break end.map_err(|e| e.kind()),
         }
-        assert!(began.elapsed() < Duration::from_secs(6));
+        assert!(started.elapsed() < Duration::from_secs(6));
     };
     assert!(text.starts_with(b"HTTP/1.1 408 "), "{:?}", String::from_utf8_lossy(&text));
     assert_eq!(end, Ok(0));
 }
 
-/// The largest request that a client may send stands behind one that is open.
+/// A request of the largest permitted size is pipelined behind an open one.
 #[test]
-fn large_request_behind_an_open_one_is_answered() {
+fn large_request_pipelined_behind_an_open_one_is_answered() {
     let bus = Bus::default();
     let slow = Store::new(9, |_, body| {
         thread::sleep(Duration::from_millis(300));
@@ -170,18 +171,18 @@
 }
 
 #[test]
-fn half_an_operators_call_gets_408() {
+fn partial_operator_call_gets_408() {
     let (bus, folder) = (Bus::default(), Folder::default());
     let gateway = gateway_for_operators(&bus, &[], &folder);
-    let got = ask_text(gateway.admin.unwrap(), "GET /v1/rea").expect("an answer");
-    assert_eq!(got.status, 408);
-    assert!(got.took < Duration::from_millis(3_500), "{:?}", got.took);
+    let answer = ask_text(gateway.admin.unwrap(), "GET /v1/rea").expect("the gateway answers");
+    assert_eq!(answer.status, 408);
+    assert!(answer.took < Duration::from_millis(3_500), "{:?}", answer.took);
 }
 
 // ---- TLS ----
 
-/// A gateway with few places that speaks TLS, a client's settings, and its store.
-fn secured() -> (Bus, Folder, Gateway, Arc<rustls::ClientConfig>, Store) {
+/// A small gateway with TLS, the settings of a client, and its store.
+fn tls_gateway() -> (Bus, Folder, Gateway, Arc<rustls::ClientConfig>, Store) {
     let (bus, folder, ca, key, cache) =
         (Bus::default(), Folder::default(), Authority::new("ca"), signer("k1"), store());
     folder.put("keys.json", &jwks(&[(&key, json!({}))]));
@@ -190,36 +191,36 @@
     let tls = r#"tls { clients client-certificates="optional" { certificate "gw.pem" key="gw.key"; }; }"#;
     let text = file("file=\"keys.json\"", "certificates { roots \"ca.pem\"; }") + tls;
     let gateway = gateway_by(&bus, &[cache.large_cache()], |config| {
-        config.sockets = SMALL;
+        config.sockets = DESCRIPTOR_LIMIT;
         config.operators = operators_in(&folder, &text, config);
     });
-    let shown = ca.client("spiffe://test/red/till", 1, life(600));
-    let config = Arc::new(client_config(&[&ca], Some(&shown)));
+    let client_certificate = ca.client("spiffe://test/red/till", 1, life(600));
+    let config = Arc::new(client_config(&[&ca], Some(&client_certificate)));
     (bus, folder, gateway, config, cache)
 }
 
 #[test]
-fn tls_client_of_a_full_table_is_refused_with_an_answer() {
-    let (_bus, _folder, gateway, config, cache) = secured();
+fn tls_client_at_a_full_table_is_rejected_with_an_answer() {
+    let (_bus, _folder, gateway, config, cache) = tls_gateway();
     let connect = || Tls::connect(gateway.listen, &config, "gw.test");
-    let waiting: Vec<Tls> = (0..PLACES as u64)
+    let waiting: Vec<Tls> = (0..CONNECTION_SLOTS as u64)
         .map(|id| {
-            let mut tls = connect().expect("a place");
-            let text = request(&format!("video/slow{id}"), id, LONG_WAIT_MS, "Req-Kb: 40000\r\n");
+            let mut tls = connect().expect("a free slot");
+            let text = request(&format!("video/slow{id}"), id, LONG_DEADLINE_MS, "Req-Kb: 40000\r\n");
             tls.0.get_mut().write_all(text.as_bytes()).unwrap();
             tls
         })
         .collect();
-    wait_for("the attempts", || cache.pulls() == PLACES);
-    let refused = connect().expect("a handshake").ask(&request(OBJECT, 1_000, 1_500, ""));
-    assert_eq!(refused.map(|answer| answer.status), Some(503));
+    wait_for("the attempts", || cache.pulls() == CONNECTION_SLOTS);
+    let rejected = connect().expect("the handshake succeeds").ask(&request(OBJECT, 1_000, 1_500, ""));
+    assert_eq!(rejected.map(|answer| answer.status), Some(503));
     drop(waiting);
 }
 
 #[test]
-fn half_a_request_by_tls_gets_408() {
-    let (_bus, _folder, gateway, config, _cache) = secured();
+fn partial_request_over_tls_gets_408() {
+    let (_bus, _folder, gateway, config, _cache) = tls_gateway();
     let mut tls = Tls::connect(gateway.listen, &config, "gw.test").unwrap();
-    let answer = tls.ask("GET /svc/video/a HTTP/1.1\r\n").expect("an answer");
+    let answer = tls.ask("GET /svc/video/a HTTP/1.1\r\n").expect("the gateway answers");
     assert_eq!(answer.status, 408);
 }
--- a/tests/store_connections.rs
+++ b/tests/store_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to stores while system calls fail, by the fault shim.
+//! Connections to stores while system calls fail by injected faults.
 
 mod stand;
 use libc::{EADDRNOTAVAIL, EINTR, EMFILE, ENETUNREACH, ENFILE, ENOBUFS, ENOMEM};
@@ -8,15 +8,15 @@
 
 const SEED: u64 = 11;
 const REQUESTS: u64 = 200;
-const RATE: f64 = 0.2;
+const FAULT_RATE: f64 = 0.2;
 
-/// The origin closes its connection behind each answer, so that each request has to connect. What fails for a moment at
-/// the gateway's own machine costs no request, not even one that must not run twice.
+/// The origin closes its connection after each answer, so that each request has to connect. Transient failures at the
+/// gateway's own machine fail no request, not even one that must not run twice.
 #[rstest]
 #[case::connect(Call::Connect, &[EINTR, EMFILE, ENFILE, ENOBUFS, ENOMEM, EADDRNOTAVAIL, ENETUNREACH])]
 #[case::socket(Call::Socket, &[EMFILE, ENFILE, ENOBUFS, ENOMEM])]
 #[case::no_delay(Call::SetSocketOption, Call::SetSocketOption.errnos())]
-fn local_failure_at_connect_costs_no_request(#[case] call: Call, #[case] errnos: &[i32]) {
+fn transient_local_failure_at_connect_fails_no_request(#[case] call: Call, #[case] errnos: &[i32]) {
     let (bus, folder) = (Bus::default(), Folder::default());
     let origin = Store::new(9, |line, _| {
         let id = line.split(' ').nth(1).unwrap_or_default();
@@ -25,14 +25,14 @@
     bus.list(&[origin.origin()]);
     let injector = Injector::new(&folder.0, SEED).unwrap();
     let program = Program::start_under(&bus, &injector);
-    injector.set(&FaultPlan::new().errno(call, errnos, RATE)).unwrap();
-    let status_once_closed = |id| {
+    injector.set(&FaultPlan::new().errno(call, errnos, FAULT_RATE)).unwrap();
+    let status_after_close = |id| {
         let status = ask(program.at, "once/f", id).status;
-        // Sent on before that, the next request could cross with the close, and would rightly not be sent again.
-        wait_for("the origin has closed", || origin.ended() == origin.connections());
+        // A request sent earlier could race with the close, and would rightly not be retried.
+        wait_for("the origin has closed its connection", || origin.ended() == origin.connections());
         status
     };
-    let statuses: Vec<u16> = (1..=REQUESTS).map(status_once_closed).collect();
+    let statuses: Vec<u16> = (1..=REQUESTS).map(status_after_close).collect();
     let counters = injector.counters().unwrap();
     assert!(counters.fired(call) > 0, "no fault fired: {counters:?}");
     let served = statuses.iter().filter(|status| **status == 200).count();
