--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -1,9 +1,9 @@
-//! System calls of the gateway fail in the ways that Linux documents, by the fault shim: each request has its answer.
+//! Injected failures of system calls, with the errnos that Linux documents: the gateway still answers each request.
 
 #[path = "stand/identity.rs"]
-mod parts;
+mod identity_stand;
 mod stand;
-use parts::*;
+use identity_stand::*;
 use rstest::rstest;
 use sagearch::consensus::{ProposeError, propose};
 use sagearch_faults::{Call, FaultPlan, Injector};
@@ -16,65 +16,65 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Requests of a case, by all clients together; `SYSTEM_CALL_REQUESTS` states another number.
+/// Requests of all clients together in a case; the environment variable `SYSTEM_CALL_REQUESTS` overrides it.
 const REQUESTS: u64 = 400;
 const CLIENTS: u64 = 16;
-/// A client rests between requests, and its connection is idle for so long.
+/// The pause between two requests of a client, in which its connection is idle.
 const PAUSE: Duration = Duration::from_millis(5);
-/// A client opens a new connection for each request of this many.
-const RECONNECT_EVERY: u64 = 5;
-/// The store closes its connection behind each answer of this many.
-const STORE_CLOSES_EVERY: u64 = 4;
-const WAIT_MS: u64 = 2_500;
+/// A client opens a new connection after this many requests.
+const REQUESTS_PER_CONNECTION: u64 = 5;
+/// The store closes its connection after one answer in this many.
+const ANSWERS_PER_STORE_CLOSE: u64 = 4;
+const DEADLINE_MS: u64 = 2_500;
 
-/// A store that closes now and then, so that the gateway connects anew.
+/// A store that closes some of its connections, so that the gateway has to reconnect.
 fn store() -> Store {
     let answered = AtomicU64::new(0);
     Store::new(1, move |line, _| {
         let id = line.split(' ').nth(1).unwrap_or_default();
-        match answered.fetch_add(1, Ordering::SeqCst) % STORE_CLOSES_EVERY {
+        match answered.fetch_add(1, Ordering::SeqCst) % ANSWERS_PER_STORE_CLOSE {
             0 => Do::Break(format!("{id} ok res=TCP_HIT,etag=e1,made=1 1\r\nx\r\n").into_bytes()),
             _ => ok(b"x"),
         }
     })
 }
 
-/// A client that keeps its connection as long as the gateway does.
+/// A client that reuses its connection until the gateway closes it.
 struct Client {
-    at: SocketAddr,
-    kept: Option<TcpStream>,
+    address: SocketAddr,
+    connection: Option<TcpStream>,
 }
 
 impl Client {
-    /// The answer's status; `None`: there was none.
+    /// Sends a request and returns the status of its answer, or `None` if there was no answer.
     fn ask(&mut self, id: u64) -> Option<u16> {
-        let text = request(&format!("video/o{}", id % 16), id, WAIT_MS, "");
-        let stream = match self.kept.take() {
+        let text = request(&format!("video/o{}", id % 16), id, DEADLINE_MS, "");
+        let stream = match self.connection.take() {
             Some(mut stream) => {
                 std::io::Write::write_all(&mut stream, text.as_bytes()).ok()?;
                 stream
             }
-            None => send(self.at, &text),
+            None => send(self.address, &text),
         };
         let answer = read_answer(&stream, Instant::now())?;
-        let closes = answer.fields.get("connection").is_some_and(|word| word == "close");
-        self.kept = Some(stream).filter(|_| !closes);
+        let closes = answer.fields.get("connection").is_some_and(|value| value == "close");
+        self.connection = Some(stream).filter(|_| !closes);
         Some(answer.status)
     }
 }
 
-/// Has all clients send their requests, and returns the statuses that came.
-fn statuses_of(at: SocketAddr, requests: u64) -> Vec<Option<u16>> {
+/// Sends the requests of all clients, and returns the statuses of their answers.
+fn send_from_all_clients(address: SocketAddr, requests: u64) -> Vec<Option<u16>> {
     let clients = (0..CLIENTS).map(|client| {
         thread::spawn(move || {
-            let mut connection = Client { at, kept: None };
+            let mut sender = Client { address, connection: None };
             let ids = (0..requests / CLIENTS).map(|number| 1 + number * CLIENTS + client);
             ids.map(|id| {
                 thread::sleep(PAUSE);
-                if (id / CLIENTS).is_multiple_of(RECONNECT_EVERY) {
-                    connection.kept = None;
+                if (id / CLIENTS).is_multiple_of(REQUESTS_PER_CONNECTION) {
+                    sender.connection = None;
                 }
-                connection.ask(id)
+                sender.ask(id)
             })
             .collect::<Vec<_>>()
         })
@@ -84,7 +84,7 @@
 }
 
 #[rstest]
-fn no_request_is_left_without_an_answer(
+fn failing_system_call_leaves_no_request_unanswered(
     #[values(
         Call::Accept,
         Call::Socket,
@@ -104,9 +104,9 @@
     let mut command = Command::new(env!("CARGO_BIN_EXE_sagearch"));
     injector.apply_to(&mut command);
     let program = Program::start_with(&bus, command);
-    wait_for("it serves", || ask_text(program.at, "GET /status/live HTTP/1.1\r\n\r\n").is_some());
+    wait_for("the gateway serves", || ask_text(program.at, "GET /status/live HTTP/1.1\r\n\r\n").is_some());
     injector.set(&FaultPlan::new().errno(call, call.errnos(), rate)).unwrap();
-    let statuses = statuses_of(program.at, requests);
+    let statuses = send_from_all_clients(program.at, requests);
     let counters = injector.counters().unwrap();
     let unanswered = statuses.iter().filter(|status| status.is_none()).count();
     let served = statuses.iter().filter(|status| **status == Some(200)).count();
@@ -115,20 +115,20 @@
         counters.fired(call),
         counters.calls(call)
     );
-    assert!(counters.fired(call) > 0, "no fault fired");
+    assert!(counters.fired(call) > 0, "at least one fault is injected");
     assert_eq!((statuses.len() as u64, unanswered), (requests, 0));
     injector.set(&FaultPlan::new()).unwrap();
     program.signal("TERM");
     assert!(program.end().success());
 }
 
-/// The same by TLS, on connections that are kept.
+/// The clients send their requests over persistent TLS connections.
 #[rstest]
-fn no_request_by_tls_is_left_without_an_answer(
+fn failing_system_call_leaves_no_tls_request_unanswered(
     #[values(Call::Accept, Call::Read, Call::Write, Call::SetSocketOption)] call: Call,
 ) {
     const TLS_CLIENTS: u64 = 4;
-    const REQUESTS_OF_EACH: u64 = 25;
+    const REQUESTS_PER_CLIENT: u64 = 25;
     let (bus, folder, ca, key, store) =
         (Bus::default(), Folder::default(), Authority::new("ca"), signer("k1"), store());
     bus.list(&[store.large_cache()]);
@@ -143,21 +143,21 @@
     command.arg("--operators").arg(folder.0.join("gateway.kdl"));
     injector.apply_to(&mut command);
     let program = Program::start_with(&bus, command);
-    let shown = ca.client("spiffe://test/red/till", 1, life(600));
-    let config = Arc::new(client_config(&[&ca], Some(&shown)));
-    wait_for("it serves", || Tls::connect(program.at, &config, "gw.test").is_some());
+    let client_certificate = ca.client("spiffe://test/red/till", 1, life(600));
+    let config = Arc::new(client_config(&[&ca], Some(&client_certificate)));
+    wait_for("the gateway serves", || Tls::connect(program.at, &config, "gw.test").is_some());
     injector.set(&FaultPlan::new().errno(call, call.errnos(), 0.3)).unwrap();
     let clients = (0..TLS_CLIENTS).map(|client| {
-        let (at, config) = (program.at, config.clone());
+        let (address, config) = (program.at, config.clone());
         thread::spawn(move || {
-            let connect = || Tls::connect(at, &config, "gw.test").expect("a handshake");
+            let connect = || Tls::connect(address, &config, "gw.test").expect("the handshake succeeds");
             let (mut tls, mut answered) = (connect(), 0);
-            for number in 0..REQUESTS_OF_EACH {
-                if number.is_multiple_of(RECONNECT_EVERY) {
+            for number in 0..REQUESTS_PER_CLIENT {
+                if number.is_multiple_of(REQUESTS_PER_CONNECTION) {
                     tls = connect();
                 }
                 let id = 1 + number * TLS_CLIENTS + client;
-                let text = request(&format!("video/o{id}"), id, WAIT_MS, "");
+                let text = request(&format!("video/o{id}"), id, DEADLINE_MS, "");
                 answered += u64::from(tls.ask(&text).is_some());
             }
             answered
@@ -165,15 +165,15 @@
     });
     let clients: Vec<_> = clients.collect();
     let answered: u64 = clients.into_iter().map(|client| client.join().unwrap()).sum();
-    assert!(injector.counters().unwrap().fired(call) > 0, "no fault fired");
-    assert_eq!(answered, TLS_CLIENTS * REQUESTS_OF_EACH);
+    assert!(injector.counters().unwrap().fired(call) > 0, "at least one fault is injected");
+    assert_eq!(answered, TLS_CLIENTS * REQUESTS_PER_CLIENT);
 }
 
-/// A shortage of descriptors makes `accept` fail at once, for as long as it lasts.
+/// While file descriptors are exhausted, `accept` fails at once. A listener that retried without a pause would spin.
 #[test]
-fn raft_listener_whose_accept_fails_waits_between_attempts_and_recovers() {
-    const OBSERVED: Duration = Duration::from_millis(500);
-    /// All accept loops together: each pauses for milliseconds.
+fn raft_listener_with_failing_accept_pauses_between_attempts_and_recovers() {
+    const OBSERVATION: Duration = Duration::from_millis(500);
+    /// The limit for all accept loops together, each of which pauses for milliseconds between attempts.
     const MAX_ATTEMPTS: u64 = 1_000;
     let (bus, folder) = (Bus::default(), Folder::default());
     let listen = unused_address();
@@ -191,13 +191,16 @@
     let is_refused = || matches!(propose(listen, b"deadline \"500ms\""), Err(ProposeError::Refused(_)));
     wait_for("the instance answers", is_refused);
     injector.set(&FaultPlan::new().errno(Call::Accept, &[libc::EMFILE], 1.0)).unwrap();
-    // The listener may be waiting in an `accept` that began before.
+    // These connections end `accept` calls that began before the fault was set.
     let _waiting: Vec<TcpStream> = (0..4).map(|_| TcpStream::connect(listen).unwrap()).collect();
     wait_for("accept fails", || injector.counters().unwrap().fired(Call::Accept) > 4);
-    let before = injector.counters().unwrap().calls(Call::Accept);
-    thread::sleep(OBSERVED);
-    let attempts = injector.counters().unwrap().calls(Call::Accept) - before;
-    assert!(attempts < MAX_ATTEMPTS, "{attempts} attempts in {OBSERVED:?}");
+    let calls_before = injector.counters().unwrap().calls(Call::Accept);
+    thread::sleep(OBSERVATION);
+    let attempts = injector.counters().unwrap().calls(Call::Accept) - calls_before;
+    assert!(
+        attempts < MAX_ATTEMPTS,
+        "{attempts} attempts in {OBSERVATION:?}, fewer than {MAX_ATTEMPTS} expected"
+    );
     injector.set(&FaultPlan::new()).unwrap();
     wait_for("the instance answers again", is_refused);
 }
