--- a/src/net/lifecycle.rs
+++ b/src/net/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Start, reload, operators' intents, upgrade and shutdown of the process.
+//! The lifecycle of a gateway's process: start, configuration reload, operators' intents, upgrade and graceful shutdown.
 
 pub mod control_side;
 pub mod gateway;
--- a/src/net/lifecycle/control_side.rs
+++ b/src/net/lifecycle/control_side.rs
@@ -1,8 +1,8 @@
-//! The control side of a gateway: all that it does without clients and requests. That is the broker and what it is fed by:
-//! the event feed, the operators' file, versions from a control service, and state that gateways share.
+//! The control side of a gateway: the broker and its inputs, without frontends. The inputs are the event feed, the operators'
+//! file, configuration versions from a control service, and state shared with other members of the fleet.
 //!
-//! [`Gateway`](crate::net::lifecycle::gateway::Gateway) adds frontends to one. A process may start many, each with a name,
-//! a seed and settings of its own, once [`crate::net::set_up`] has been called.
+//! [`Gateway`](crate::net::lifecycle::gateway::Gateway) adds frontends to a control side. A process may start many control
+//! sides, each with its own name, seed and settings, once [`crate::net::set_up`] has been called.
 
 mod config;
 mod followers;
@@ -32,39 +32,41 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// How often it is checked whether all threads and coroutines have ended.
+/// How often [`ControlSide::stopped_within`] checks whether all threads and coroutines have ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// A gateway without clients and requests. It stops when it is dropped.
+/// The control side of a gateway: the broker and its inputs, without frontends. It stops when it is dropped.
 pub struct ControlSide {
     /// The gateway's clock.
     pub clock: Clock,
-    /// The version in force.
+    /// The configuration version in force, the upkeep of its key sets and the admission of callers.
     pub guard: Arc<Guard>,
-    /// The operators' file and the streamed version together.
+    /// The configuration, layered from the operators' file and the version of the control service.
     pub config: Arc<LayeredConfig>,
-    /// How far the bus has been followed.
+    /// The progress of the event feed.
     pub feed: Arc<Feed>,
-    /// The operators' file of the start; empty if that could not be used.
+    /// The operators' file that was read at the start; empty if it could not be used.
     pub operators: Operators,
     broker: Arc<Mutex<Broker<Mailbox>>>,
     events: Arc<BrokerEvents>,
-    shared: Option<Arc<ClusterNode>>,
+    cluster_node: Option<Arc<ClusterNode>>,
     staleness: Mutex<StalenessMonitor>,
     name: String,
     seed: u64,
     instance: u64,
-    /// The number of this process among those of the gateway, for relays and the members of the fleet.
+    /// The incarnation of this process, by which relays and members of the fleet tell it from earlier ones; 0 where it has
+    /// contact with neither.
     incarnation: u64,
     /// The stored version that was applied at the start.
-    resumed: Option<Arc<Version>>,
+    resumed_version: Option<Arc<Version>>,
     stopping: Arc<AtomicBool>,
-    /// How many of its threads and coroutines are running.
+    /// The number of running threads and coroutines of this control side.
     running: Arc<AtomicUsize>,
 }
 
 impl ControlSide {
-    /// Starts all of it. `wrap` gets the sink that applies events, and may return one that observes it.
+    /// Starts a control side with all of its followers. `wrap` receives the sink that applies events, and may return one
+    /// that observes them.
     ///
     /// # Errors
     /// A socket can't be bound, or a thread can't be started.
@@ -81,7 +83,8 @@
         Ok(control_side)
     }
 
-    /// Starts all but the followers of the bus and of the control services. The caller applies the events of the start.
+    /// Starts a control side without the followers of the event bus and of the control services. The caller applies the
+    /// events of the configuration.
     ///
     /// # Errors
     /// The socket for other gateways can't be bound, or a thread can't be started.
@@ -106,8 +109,8 @@
         let operators = operators.unwrap_or_default();
         let known_to_others = operators.feed.is_some() || (joins_fleet && operators.fleet.is_some());
         let incarnation = if known_to_others { incarnation::next(lasting.as_deref(), &name) } else { 0 };
-        // Before any request is served.
-        let resumed = resume_version(&layered_config, &operators);
+        // The stored version must be in force before any request is served.
+        let resumed_version = resume_version(&layered_config, &operators);
         let events = Arc::new(BrokerEvents::new(clock, broker.clone(), guard.version.clone()));
         let feed = Arc::new(Feed::new(seed, guard.metrics.feed.clone()));
         let mut control_side = ControlSide {
@@ -118,13 +121,13 @@
             operators,
             broker,
             events,
-            shared: None,
+            cluster_node: None,
             staleness: Mutex::default(),
             name,
             seed,
             instance,
             incarnation,
-            resumed,
+            resumed_version,
             stopping: Arc::default(),
             running: Arc::default(),
         };
@@ -135,7 +138,7 @@
         Ok(control_side)
     }
 
-    /// Starts with a freshness lease that has expired, where purges come from relays: nothing is known of them yet.
+    /// Sets a freshness lease that has already expired, where purges come from relays: none have been received yet.
     fn start_freshness_lease(&self) {
         if let Some(relays) = &self.operators.feed {
             let (lease, revalidations) = (feed::initial_lease(relays, self.clock.now()), relays.revalidate);
@@ -143,10 +146,10 @@
         }
     }
 
-    /// Shares state with other gateways, where the operators' file names a fleet.
+    /// Joins the fleet that the operators' file names, if any, to share state with its other members.
     fn join_fleet(&mut self, peer_listen: Option<SocketAddr>) -> io::Result<()> {
         let Some(fleet) = &self.operators.fleet else { return Ok(()) };
-        let joining = JoinConfig {
+        let join_config = JoinConfig {
             fleet,
             name: &self.name,
             listen: peer_listen,
@@ -155,34 +158,34 @@
             seed: self.seed,
             counters: self.guard.metrics.shared.clone(),
         };
-        let started = cluster::start(joining)?;
+        let started = cluster::start(join_config)?;
         let Some(started) = started else { return Ok(()) };
         started.budgets.into_iter().for_each(|budget| self.broker().set_shared_retry_budget(budget));
-        self.shared = Some(started.node);
+        self.cluster_node = Some(started.node);
         Ok(())
     }
 
-    /// The broker, locked.
+    /// Locks the broker.
     pub fn broker(&self) -> MutexGuard<'_, Broker<Mailbox>> {
         lock(&self.broker)
     }
 
-    /// The broker, for parts that lock it themselves.
+    /// Returns a handle of the broker, for parts that lock it themselves.
     pub(in crate::net) fn broker_handle(&self) -> Arc<Mutex<Broker<Mailbox>>> {
         self.broker.clone()
     }
 
-    /// The sink that applies events to the broker.
+    /// Returns the sink that applies events to the broker.
     pub fn events(&self) -> Arc<BrokerEvents> {
         self.events.clone()
     }
 
-    /// The counters of the event feed.
+    /// Returns the counters of the event feed.
     pub fn counters(&self) -> &FeedCounters {
         &self.guard.metrics.feed
     }
 
-    /// Runs the broker's timers, which also request quotas of shared budgets. To be called every 2 ms.
+    /// Runs the broker's timers, which also request quotas of shared budgets. Must be called every 2 ms.
     pub fn tick(&self) {
         let now = self.clock.now();
         let report = {
@@ -196,30 +199,31 @@
         }
     }
 
-    /// Counts one more thread or coroutine as running, until the permit is dropped.
+    /// Counts a further thread or coroutine as running until the returned permit is dropped.
     fn permit(&self) -> Option<Permit> {
         Permit::take(&self.running, usize::MAX)
     }
 
-    /// Releases the leases and quotas that it has as a member of a fleet.
+    /// Releases the leases and quotas that this gateway holds as a member of the fleet.
     pub fn leave_fleet(&self) {
-        self.shared.iter().for_each(|shared| shared.request_leave());
+        self.cluster_node.iter().for_each(|node| node.request_leave());
     }
 
-    /// Stops its threads and coroutines, and closes the connection of the feed. No event is applied any more.
+    /// Requests all threads and coroutines to stop, and closes the feed's connection. No further event is applied.
     pub fn stop(&self) {
         self.stopping.store(true, Ordering::SeqCst);
         self.feed.stop();
         self.guard.stop();
-        self.shared.iter().for_each(|shared| shared.stop());
+        self.cluster_node.iter().for_each(|node| node.stop());
     }
 
     fn has_ended(&self) -> bool {
-        let shared_ended = self.shared.as_ref().is_none_or(|shared| shared.ended());
-        shared_ended && self.running.load(Ordering::SeqCst) == 0
+        let node_ended = self.cluster_node.as_ref().is_none_or(|node| node.ended());
+        node_ended && self.running.load(Ordering::SeqCst) == 0
     }
 
-    /// Whether all threads and coroutines end within `timeout`. Blocks: not to be called by a coroutine.
+    /// Waits up to `timeout` for all threads and coroutines to end; returns whether they have. Blocks the calling thread, so
+    /// coroutines must not call it.
     pub fn stopped_within(&self, timeout: Duration) -> bool {
         let start = Instant::now();
         while !self.has_ended() {
@@ -232,8 +236,8 @@
     }
 }
 
-/// Applies the version that was stored before, where there is a control service. Without one, a gateway that must not
-/// serve without a version is sealed until the first one arrives.
+/// Applies the stored version of an earlier run, where a control service is configured. Without a stored version, a gateway
+/// that must not serve without one is sealed until the first version arrives.
 fn resume_version(layered_config: &LayeredConfig, operators: &Operators) -> Option<Arc<Version>> {
     let control = operators.control.as_ref()?;
     let resumed = control::resume(layered_config, control);
--- a/src/net/lifecycle/control_side/config.rs
+++ b/src/net/lifecycle/control_side/config.rs
@@ -1,4 +1,4 @@
-//! What a control side is started with.
+//! The configuration of a control side.
 
 use crate::events::Batch;
 use crate::interface::Settings;
@@ -7,28 +7,28 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The settings of a control side.
+/// The configuration of a control side.
 pub struct ControlConfig {
     /// The gateway's name.
     pub name: String,
     /// The seed of all random numbers.
     pub seed: u64,
-    /// Tells this run from those of other gateways in the process, and from earlier runs of this gateway.
+    /// The number that tells this run from other gateways of the process and from earlier runs of this gateway.
     pub instance: u64,
-    /// Where the event bus listens.
+    /// The address of the event bus.
     pub bus: SocketAddr,
-    /// Where datagrams of other gateways are received, if that is not the address that the operators' file states.
+    /// The address where datagrams of other gateways are received, if it differs from the one in the operators' file.
     pub peer_listen: Option<SocketAddr>,
-    /// The folder of the state that outlives the process.
+    /// The folder for state that outlives the process; `None`: nothing is stored.
     pub lasting: Option<PathBuf>,
-    /// Whether it may join the fleet of the operators' file.
+    /// Whether this process may join the fleet that the operators' file names.
     pub joins_fleet: bool,
     /// The events of the bus that the configuration contains.
     pub known: Batch,
-    /// How the policies decide.
+    /// The settings of the policies.
     pub settings: Settings,
     /// The names of classes, cells and machine types.
     pub names: Names,
-    /// The operators' file, or why it can't be used.
+    /// The operators' file, or the diagnostics if it can't be used.
     pub operators: Result<Operators, Diagnostics>,
 }
--- a/src/net/lifecycle/control_side/followers.rs
+++ b/src/net/lifecycle/control_side/followers.rs
@@ -1,4 +1,4 @@
-//! The threads and coroutines that follow what feeds a control side: the control services, and relays or the bus.
+//! Starts the followers of a control side, which receive updates from the control services and from relays or the event bus.
 
 use super::ControlSide;
 use crate::net::configuration::control;
@@ -15,7 +15,7 @@
     /// A thread can't be started.
     pub(in crate::net) fn follow_control(&self) -> io::Result<()> {
         let Some(control) = self.operators.control.clone() else { return Ok(()) };
-        let following = control::VersionFollowerConfig {
+        let follower_config = control::VersionFollowerConfig {
             config: self.config.clone(),
             admission: self.guard.admission.clone(),
             metrics: self.guard.metrics.clone(),
@@ -24,19 +24,19 @@
             node: self.name.clone(),
             instance: self.instance,
             seed: self.seed,
-            in_force: self.resumed.clone(),
+            in_force: self.resumed_version.clone(),
         };
         let Some(running) = self.permit() else { return Ok(()) };
-        control::follow(following, self.stopping.clone(), running)
+        control::follow(follower_config, self.stopping.clone(), running)
     }
 
-    /// Follows the relays that the operators' file names, or else the bus at `address`.
+    /// Follows the relays that the operators' file names or, without relays, the event bus at `address`.
     pub(in crate::net) fn follow_bus(&self, sink: &Arc<dyn EventSink>, address: SocketAddr) {
         let Some(running) = self.permit() else { return };
         let Some(relays) = self.operators.feed.clone() else {
             return bus::follow(&self.feed, sink, address, running);
         };
-        let following = feed::RelayFollowerConfig {
+        let follower_config = feed::RelayFollowerConfig {
             feed: self.feed.clone(),
             sink: sink.clone(),
             clock: self.clock,
@@ -45,10 +45,11 @@
             seed: self.seed,
             relays,
         };
-        feed::follow(following, running);
+        feed::follow(follower_config, running);
     }
 
-    /// Follows the bus at another address, from the last event on. The relays of the start do not change.
+    /// Follows the event bus at another address, from the last event received. Does nothing where relays are followed:
+    /// they are fixed at the start.
     pub(in crate::net) fn change_bus_address(&self, sink: &Arc<dyn EventSink>, address: SocketAddr) {
         if self.operators.feed.is_none() {
             self.follow_bus(sink, address);
--- a/src/net/lifecycle/gateway.rs
+++ b/src/net/lifecycle/gateway.rs
@@ -1,4 +1,4 @@
-//! The lifecycle of a gateway: the start of its parts, reload of the configuration, and graceful shutdown.
+//! Starts the parts of a gateway, reloads its configuration, and shuts it down gracefully.
 
 mod error;
 mod single_process;
@@ -28,38 +28,39 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How often timers run. The broker keeps twice this in hand before each deadline.
+/// How often timers run. The broker reserves twice this interval before each deadline.
 const TICK_INTERVAL: Duration = Duration::from_millis(2);
-/// Ticks between two checks of whether clients have left.
+/// Ticks between two checks for clients that have disconnected.
 const CLIENT_CHECK_TICKS: u32 = 10;
 /// Ticks between two sweeps of idle connections.
 const SWEEP_TICKS: u32 = 50;
-/// Ticks between two checks of idle connections whose certificates have expired.
+/// Ticks between two checks for idle connections whose client certificates have expired.
 const CERTIFICATE_CHECK_TICKS: u32 = 250;
-/// How often the stop flag is checked, and then whether all requests are answered.
+/// How often [`Gateway::finish`] checks the stop flag and, once it is set, whether all requests are answered.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// A new process accepts clients once the bus has answered, or after this if the bus is silent.
+/// How long a new process waits for the event bus to answer before it accepts clients anyway.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Memory that is not available for answers.
+/// Memory that is not available for responses.
 const RESERVED_MEMORY_MB: usize = 8;
-/// An answer takes at most an object of 240,000 bytes, its request's buffers and its coroutine's stack.
-const ANSWERS_PER_MB: usize = 4;
-/// One client is rejected with an answer at a time for each so many descriptors.
+/// A response takes at most an object of 240,000 bytes, its request's buffers and its coroutine's stack.
+const RESPONSES_PER_MB: usize = 4;
+/// Descriptors per client that may be rejected with a response at the same time.
 const DESCRIPTORS_PER_REJECTION: usize = 16;
-/// How many clients can be rejected with an answer at a time, however few descriptors there are.
+/// How many clients may be rejected with a response at the same time, however few descriptors there are.
 const MIN_REJECTIONS: usize = 2;
 
-/// How many clients may be connected at a time: they have two fifths of the descriptors.
+/// How many clients may be connected at the same time: two fifths of the descriptors are reserved for them, and each
+/// needs memory for a response.
 fn max_clients(sockets: usize, memory_mb: usize) -> usize {
-    (sockets * 2 / 5).min((memory_mb - RESERVED_MEMORY_MB) * ANSWERS_PER_MB)
+    (sockets * 2 / 5).min((memory_mb - RESERVED_MEMORY_MB) * RESPONSES_PER_MB)
 }
 
-/// How many clients may be rejected with an answer at a time.
-fn max_rejecting(sockets: usize) -> usize {
+/// How many clients may be rejected with a response at the same time.
+fn max_concurrent_rejections(sockets: usize) -> usize {
     (sockets / DESCRIPTORS_PER_REJECTION).max(MIN_REJECTIONS)
 }
 
-/// The configuration of the control side. The operators' file is moved out of `config`.
+/// Builds the configuration of the control side. Moves the operators' file out of `config`.
 fn control_config(config: &mut Config) -> ControlConfig {
     ControlConfig {
         name: config.name.clone(),
@@ -68,7 +69,8 @@
         bus: config.bus,
         peer_listen: config.peer_listen,
         lasting: config.lasting.clone(),
-        // The two processes of an upgrade can't be the same member of the fleet: the new one joins at its next start.
+        // The two processes of an upgrade can't be the same member of the fleet. A process with an inherited socket may
+        // be either of them, so it does not join.
         joins_fleet: config.socket.is_none(),
         known: Batch::default(),
         settings: config.settings.clone(),
@@ -90,17 +92,21 @@
     }
 }
 
-/// Answers operators' calls at an address. Returns where it listens.
-fn start_admin(core: &Arc<Core>, address: SocketAddr, keeper: IntentStore) -> Result<SocketAddr, StartError> {
+/// Starts the listener for operators' calls, and returns its address.
+fn start_admin(
+    core: &Arc<Core>,
+    address: SocketAddr,
+    intent_store: IntentStore,
+) -> Result<SocketAddr, StartError> {
     let listen_error = |cause| StartError::Admin { address, cause };
     let listener = TcpListener::bind(address).map_err(listen_error)?;
     let bound = listener.local_addr().map_err(listen_error)?;
     let core = core.clone();
-    crate::net::spawn(move || admin::listen(&core, &listener, keeper));
+    crate::net::spawn(move || admin::listen(&core, &listener, intent_store));
     Ok(bound)
 }
 
-/// The listening socket for clients: the one that the platform holds, or a new one.
+/// Returns the listener for clients: the inherited socket that the platform holds, or a new one.
 fn client_listener(config: &Config) -> io::Result<TcpListener> {
     match config.socket {
         Some(socket) => handover::inherit_listener(socket, config.listen),
@@ -108,7 +114,8 @@
     }
 }
 
-/// Accepts clients, once the bus has answered where another process accepts them already.
+/// Accepts clients. Where the listening socket is shared with another process, which may already accept clients, this
+/// one first waits until it has caught up with the event bus, for at most [`CATCH_UP_TIMEOUT`].
 fn serve_clients(core: Arc<Core>, clients: Arc<Clients>, feed: Arc<Feed>, listener: TcpListener) {
     crate::net::spawn(move || {
         let start = Instant::now();
@@ -141,41 +148,42 @@
     });
 }
 
-/// A gateway that listens.
+/// A running gateway.
 pub struct Gateway {
-    /// The path of requests.
+    /// The part that handles requests.
     pub core: Arc<Core>,
     control_side: Arc<ControlSide>,
-    /// Where clients connect.
+    /// The address where clients connect.
     pub listen: SocketAddr,
-    /// Where operators call.
+    /// The address of the listener for operators' calls; `None`: there is none.
     pub admin: Option<SocketAddr>,
-    /// Where the DNS frontend listens, now or once the address is free.
+    /// The address where the DNS frontend listens, or will listen once it is free; `None`: the frontend is off.
     pub dns: Option<SocketAddr>,
-    /// Which keys the configuration in force has: a new one may not lack any of them.
+    /// The keys of the configuration in force. A replacement must contain all of them.
     shape: Mutex<Shape>,
-    /// How many descriptors the process may use.
+    /// The descriptor limit of the process.
     sockets: usize,
-    /// The instance of the consensus group that commits routes.
+    /// This gateway's instance of the consensus group that commits routes; `None`: there is none, or it starts only once
+    /// the previous process frees its address.
     pub raft: Option<Instance>,
 }
 
 impl Gateway {
-    /// Starts all parts: the configuration's events are applied first, and clients are accepted last.
+    /// Starts all parts of a gateway: applies the events of the configuration first, and accepts clients last.
     ///
     /// # Errors
-    /// [`StartError`]: the part that can't start, and why.
+    /// Returns the part that can't be started and the cause.
     pub fn start(mut config: Config) -> Result<Gateway, StartError> {
         let max_clients = max_clients(config.sockets, config.memory_mb);
-        let clients = Arc::new(Clients::new(max_clients, max_rejecting(config.sockets)));
+        let clients = Arc::new(Clients::new(max_clients, max_concurrent_rejections(config.sockets)));
         let control_side = ControlSide::prepare(control_config(&mut config));
         let control_side = Arc::new(control_side.map_err(StartError::ControlSide)?);
         let core = Arc::new(Core::new(core_parts(&config, &control_side, &clients)));
         let sink: Arc<dyn EventSink> = core.clone();
         bus::apply_new_events(&control_side.feed, &*sink, std::mem::take(&mut config.known));
-        let keeper = intents::start(&core, config.lasting.as_deref(), &config.name);
-        let keeper = keeper.map_err(StartError::Intents)?;
-        let admin = config.admin.map(|address| start_admin(&core, address, keeper)).transpose()?;
+        let intent_store = intents::start(&core, config.lasting.as_deref(), &config.name);
+        let intent_store = intent_store.map_err(StartError::Intents)?;
+        let admin = config.admin.map(|address| start_admin(&core, address, intent_store)).transpose()?;
         let listen_error = |cause| StartError::Clients { address: config.listen, cause };
         let listener = client_listener(&config).map_err(listen_error)?;
         let listen = listener.local_addr().map_err(listen_error)?;
@@ -198,18 +206,18 @@
         Ok(Gateway { core, control_side, listen, admin, dns, shape, sockets, raft })
     }
 
-    /// Applies a configuration that has replaced the one before: its settings, the operators' file and the address
-    /// of its bus, which is followed from the last event on. It is applied completely or not at all, and open requests
-    /// go on under the rules with which they were admitted. All else in it applies from the next start.
+    /// Applies a reloaded configuration: its settings, the operators' file and the address of the event bus, which is
+    /// followed from the last event received. The configuration is applied completely or not at all. Open requests
+    /// continue under the rules that were in force at their admission. Other keys take effect at the next start.
     ///
     /// # Errors
-    /// The key that is missing, or the operators' file that can't be used. Nothing has changed then.
+    /// A key is missing, or the operators' file can't be used. The configuration in force is then unchanged.
     pub fn reload(&self, config: Config) -> Result<(), ConfigError> {
         let mut shape = lock(&self.shape);
         shape.check_replacement(&config.shape)?;
         let Config { settings, names, bus, operators, .. } = config;
         let core = &self.core;
-        // Only the operators' file can still be rejected; from its commit on nothing fails.
+        // Only the operators' file can still be rejected; nothing fails after `replace_file` has committed it.
         let deployment = core.deployment().with_settings(settings, names);
         let retune = |deployment: &Deployment| core.retune(deployment, self.sockets);
         let operators = operators.map_err(|faults| ConfigError::new("operators", faults))?;
@@ -222,8 +230,8 @@
         Ok(())
     }
 
-    /// Waits until the flag is set, drains, and returns once all admitted requests are answered, or the time for that is
-    /// over. Blocks the caller's thread.
+    /// Waits until `stop` is set, then shuts down gracefully: returns once all admitted requests are answered or the
+    /// shutdown deadline has passed. Blocks the calling thread.
     pub fn finish(&self, stop: &AtomicBool) {
         while !stop.load(Ordering::SeqCst) {
             std::thread::sleep(STOP_POLL_INTERVAL);
--- a/src/net/lifecycle/gateway/error.rs
+++ b/src/net/lifecycle/gateway/error.rs
@@ -1,55 +1,55 @@
-//! Why a gateway can't start.
+//! Errors of a gateway's start.
 
 use crate::net::frontend::dns::DnsError;
 use std::io;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why a gateway can't start.
+/// The part of a gateway that can't be started, and the cause.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The broker and what feeds it, such as the exchange with other gateways, can't be started.
+    /// The control side, such as the exchange with other members of the fleet, can't be started.
     #[error("control side: {0}")]
     ControlSide(#[source] io::Error),
     /// The thread that stores the operators' intents can't be started.
     #[error("operators' intents: {0}")]
     Intents(#[source] io::Error),
-    /// The address for operators' calls can't be listened at.
+    /// The listener for operators' calls can't be started.
     #[error("admin: {address}: {cause}")]
     Admin {
-        /// The address, as the configuration states it.
+        /// The configured address.
         address: SocketAddr,
-        /// Why it can't be used.
+        /// The error of the system.
         #[source]
         cause: io::Error,
     },
-    /// The address for clients can't be listened at.
+    /// The listener for clients can't be started.
     #[error("listen: {address}: {cause}")]
     Clients {
-        /// The address, as the configuration states it.
+        /// The configured address.
         address: SocketAddr,
-        /// Why it can't be used.
+        /// The error of the system.
         #[source]
         cause: io::Error,
     },
     /// The DNS frontend can't be started.
     #[error(transparent)]
     Dns(#[from] DnsError),
-    /// The instance of the consensus group can't be started.
+    /// This gateway's instance of the consensus group can't be started.
     #[error("raft: {address}: {cause}")]
     Consensus {
-        /// Where the instance was to listen.
+        /// The configured address of the instance.
         address: SocketAddr,
-        /// Why it can't be started.
+        /// The error of the system.
         #[source]
         cause: io::Error,
     },
-    /// The thread that waits until the other process frees an address can't be started.
+    /// The thread that waits until the previous process frees an address can't be started.
     #[error("{address}: waiting until it is free: {cause}")]
     TakeOver {
-        /// The address.
+        /// The address that is in use.
         address: SocketAddr,
-        /// Why the thread can't be started.
+        /// The error of the system.
         #[source]
         cause: io::Error,
     },
--- a/src/net/lifecycle/gateway/single_process.rs
+++ b/src/net/lifecycle/gateway/single_process.rs
@@ -1,4 +1,5 @@
-//! Parts that only one process of a gateway can run: during an upgrade they start once the other process has ended.
+//! Parts that only one process of a gateway can run at a time. During an upgrade they start once the previous process has
+//! freed their addresses.
 
 use super::error::StartError;
 use crate::consensus::{Instance, InvalidDocument};
@@ -12,9 +13,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often an address is tried that the other process still has.
+/// How often a thread checks whether an address in use has become free.
 const ADDRESS_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// The stack of the thread that waits for an address, in bytes.
+/// The stack size of the thread that waits for an address.
 const STACK_BYTES: usize = 256 * 1024;
 
 /// Whether another process listens at an address.
@@ -22,14 +23,14 @@
     std::net::TcpListener::bind(address).is_err_and(|e| e.kind() == io::ErrorKind::AddrInUse)
 }
 
-/// Runs `start` on a thread of its own, once the other process has ended and the address is free.
+/// Starts a thread that waits until the address is free and then runs `start`.
 fn start_when_free<E: Display>(
     address: SocketAddr,
     start: impl FnOnce() -> Result<(), E> + Send + 'static,
 ) -> Result<(), StartError> {
-    log::info!("{address} is in use: it is taken over once it is free");
+    log::info!("{address} is in use; waiting until it is free");
     let thread = std::thread::Builder::new().name("take-over".into()).stack_size(STACK_BYTES);
-    let waiting = thread.spawn(move || {
+    let spawned = thread.spawn(move || {
         while is_in_use(address) {
             std::thread::sleep(ADDRESS_RETRY_INTERVAL);
         }
@@ -37,11 +38,11 @@
             log::error!("{address}: {e}");
         }
     });
-    waiting.map(drop).map_err(|cause| StartError::TakeOver { address, cause })
+    spawned.map(drop).map_err(|cause| StartError::TakeOver { address, cause })
 }
 
-/// Starts the DNS frontend, or has it start once its address is free. Returns where it listens; `None`: it is off.
-/// `listen` is where clients connect.
+/// Starts the DNS frontend, at once or when its address becomes free. Returns its address; `None`: it is off. `listen` is
+/// the address where clients connect.
 pub(super) fn start_dns(
     core: &Arc<Core>,
     dns: Option<Dns>,
@@ -58,8 +59,8 @@
     Ok(Some(address))
 }
 
-/// Joins the consensus group of the DNS frontend's routes, or does so once its address is free. `None`: there is no
-/// group, or not yet.
+/// Starts this gateway's instance of the consensus group for the DNS frontend's routes, at once or when its address becomes
+/// free. `None`: no group is configured, or the address is not free yet.
 pub(super) fn start_consensus(core: &Arc<Core>, raft: Option<Raft>) -> Result<Option<Instance>, StartError> {
     let Some(raft) = raft else { return Ok(None) };
     let address = raft.listen;
@@ -69,7 +70,7 @@
     }
     let core = core.clone();
     start_when_free(address, move || -> io::Result<()> {
-        // The instance stops when it is dropped, so this thread keeps it.
+        // The instance stops when it is dropped, so this thread owns it.
         let _instance = join_consensus_group(&core, &raft)?;
         loop {
             std::thread::park();
@@ -78,19 +79,20 @@
     Ok(None)
 }
 
-/// Starts this gateway's instance of the consensus group, which applies the routes that are committed.
+/// Starts this gateway's instance of the consensus group and applies each document of routes that the group commits.
 fn join_consensus_group(core: &Arc<Core>, raft: &Raft) -> io::Result<Instance> {
-    let (checking, applying) = (core.clone(), core.clone());
-    let read = |text: &[u8], core: &Core| {
+    let (validating_core, applying_core) = (core.clone(), core.clone());
+    let parse_routes = |text: &[u8], core: &Core| {
         let text = std::str::from_utf8(text).map_err(|e| e.to_string())?;
         fronts::parse_agreed("document", text, &core.deployment().names).map_err(|faults| faults.to_string())
     };
-    let check = move |text: &[u8]| read(text, &checking).map(drop).map_err(InvalidDocument::from);
-    Instance::start(raft, Arc::new(check), move |text| match read(text, &applying) {
+    let validate =
+        move |text: &[u8]| parse_routes(text, &validating_core).map(drop).map_err(InvalidDocument::from);
+    Instance::start(raft, Arc::new(validate), move |text| match parse_routes(text, &applying_core) {
         Ok(routes) => {
-            log::info!("agreed: {} sources of look-ups", routes.sources.len());
-            applying.guard.version.replace_routes(routes);
+            log::info!("consensus group committed routes: {} sources", routes.sources.len());
+            applying_core.guard.version.replace_routes(routes);
         }
-        Err(e) => log::error!("agreed, but not usable here: {e}"),
+        Err(e) => log::error!("committed routes can't be applied: {e}"),
     })
 }
