--- a/src/main.rs
+++ b/src/main.rs
@@ -22,7 +22,7 @@
 use std::sync::{Arc, OnceLock};
 use thiserror::Error;
 
-/// The program of the control service, which stands beside this one.
+/// The file name of the control service's program, which is installed in the same folder as this one.
 const CONTROL_PROGRAM: &str = "sagearch-control";
 
 #[derive(Parser)]
@@ -76,35 +76,35 @@
     },
 }
 
-/// Why a command failed.
+/// The error that ended a command.
 #[derive(Debug, Error)]
 enum CommandError {
-    /// Signals can't be handled.
+    /// The signal handlers can't be installed.
     #[error("signals: {0}")]
     Signals(#[source] io::Error),
     /// The configuration can't be used; the message names the key.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The operators' file can't be used; the message names the place.
+    /// The operators' file can't be used; the message names the location of each fault.
     #[error("{0}")]
     OperatorsFile(String),
     /// A part of the gateway can't be started.
     #[error(transparent)]
     Start(#[from] StartError),
-    /// A document can't be read.
+    /// The document to propose can't be read.
     #[error("{}: {cause}", path.display())]
     Document {
         path: PathBuf,
         #[source]
         cause: io::Error,
     },
-    /// The group has not agreed on a document.
+    /// The consensus group has not committed the document.
     #[error(transparent)]
     Propose(#[from] consensus::ProposeError),
-    /// The path of this program is not known.
+    /// The path of this program can't be determined.
     #[error("the path of this program: {0}")]
     OwnPath(#[source] io::Error),
-    /// The program beside this one can't be run.
+    /// The program of the control service can't be run.
     #[error("{}: {cause}; build it with: cargo build --release -p {CONTROL_PROGRAM}", path.display())]
     Program {
         path: PathBuf,
@@ -113,22 +113,22 @@
     },
 }
 
-/// Serves until SIGTERM, and returns once all admitted requests are answered. SIGHUP reads the configuration again.
+/// Serves until SIGTERM or SIGINT, then shuts down gracefully. SIGHUP reloads the configuration.
 fn serve(
     read_config: impl Fn() -> Result<Config, ConfigError> + Send + Sync + 'static,
 ) -> Result<(), CommandError> {
     net::set_up();
     let started: Arc<OnceLock<Gateway>> = Arc::default();
     let read_config = Arc::new(read_config);
-    let (reloaded, read_again) = (started.clone(), read_config.clone());
-    // A file that can't be used changes nothing: a mistake in it must not stop a gateway that is serving.
+    let (running_gateway, read_again) = (started.clone(), read_config.clone());
+    // After a failed reload the configuration in force stays: a mistake in a file must not stop a gateway that is serving.
     let reload = move || {
-        let result = read_again().and_then(|config| reloaded.wait().reload(config));
+        let result = read_again().and_then(|config| running_gateway.wait().reload(config));
         if let Err(cause) = result {
             log::error!("{cause}; going on with the configuration in force");
         }
     };
-    // Before anything that takes time: until then, a signal would end the process at once.
+    // Signals are handled before the slow steps of the start: without a handler a signal terminates the process at once.
     let stop = signal::handle_signals(reload).map_err(CommandError::Signals)?;
     let gateway = Gateway::start(read_config()?)?;
     started.get_or_init(|| gateway).finish(&stop);
@@ -136,8 +136,8 @@
     Ok(())
 }
 
-/// Replaces this process by the program of the control service. It is a program of its own so that the gateway does not
-/// contain what only the service needs. Returns only where that fails.
+/// Replaces this process by the program of the control service. It is a separate program so that the gateway does not contain
+/// code that only the service needs. Returns only if the replacement fails.
 fn run_control(arguments: &[OsString]) -> CommandError {
     let own_path = match std::env::current_exe() {
         Ok(path) => path,
@@ -148,7 +148,7 @@
     CommandError::Program { path, cause }
 }
 
-/// Has the consensus group agree on a document.
+/// Proposes a document to the consensus group, and returns once the group has committed it.
 fn propose(to: SocketAddr, file: &Path) -> Result<(), CommandError> {
     let document =
         std::fs::read(file).map_err(|cause| CommandError::Document { path: file.to_path_buf(), cause })?;
@@ -157,7 +157,7 @@
     Ok(())
 }
 
-/// Prints what a configuration holds.
+/// Prints a summary of the configuration, or fails if its operators' file can't be used.
 fn check_config(config: &Config) -> Result<(), CommandError> {
     println!("{} listens on {}, its event bus is {}", config.name, config.listen, config.bus);
     println!("{} events are known, {} descriptors", config.known.batch.len(), config.sockets);
@@ -168,7 +168,7 @@
     Ok(())
 }
 
-/// Prints what the operators' file switches on.
+/// Prints which parts the operators' file enables.
 fn print_operators(operators: &Operators) {
     match &operators.dns {
         Some(dns) => println!("names under {} are answered on {}", dns.domain, dns.listen),
@@ -197,7 +197,7 @@
         Command::Serve => serve(read_config)?,
         Command::Version => println!("sagearch {}", env!("CARGO_PKG_VERSION")),
         Command::CheckConfig => check_config(&read_config()?)?,
-        // These have exit codes of their own.
+        // These commands define their own exit codes.
         Command::Config(command) => return Ok(commands::config::run(&command)),
         Command::Identity(command) => return Ok(identity::run(&command, &operators)),
         Command::Control { arguments } => return Err(run_control(&arguments)),
--- a/src/net/lifecycle/gateway_file.rs
+++ b/src/net/lifecycle/gateway_file.rs
@@ -1,11 +1,12 @@
-//! The paths of a gateway's own files and sockets: several gateways may share a folder.
+//! The paths of a gateway's files and sockets. Several gateways may share a folder, so the gateway's name is part of each.
 
 use std::path::{Path, PathBuf};
 
-/// The path of a gateway's file. Characters of the name that a file's name should not have are replaced.
-pub fn file_in(folder: &Path, name: &str, ending: &str) -> PathBuf {
-    let plain = |c: char| if c.is_ascii_alphanumeric() || "-_".contains(c) { c } else { '_' };
-    folder.join(format!("sagearch-{}.{ending}", name.chars().map(plain).collect::<String>()))
+/// Returns the path of a gateway's file in a folder. Characters of the gateway's name other than ASCII letters, digits, `-`
+/// and `_` are replaced by `_`.
+pub fn gateway_file_path(folder: &Path, name: &str, ending: &str) -> PathBuf {
+    let sanitized = |c: char| if c.is_ascii_alphanumeric() || "-_".contains(c) { c } else { '_' };
+    folder.join(format!("sagearch-{}.{ending}", name.chars().map(sanitized).collect::<String>()))
 }
 
 #[cfg(test)]
--- a/src/net/lifecycle/intents/tests.rs
+++ b/src/net/lifecycle/intents/tests.rs
@@ -1,6 +1,6 @@
-use super::model::{BACK_KEPT, Moment, SinceBoot};
+use super::model::{BACK_RETENTION, Moment, SinceBoot};
 use super::stored::IntentsFile;
-use super::worker::{LAST_ATTEMPT_AFTER, store_in_time};
+use super::worker::{LAST_ATTEMPT_AFTER, store_with_retry};
 use super::*;
 use crate::faulty_file_system::*;
 use rstest::rstest;
@@ -8,9 +8,9 @@
 use std::fs;
 use std::time::{Duration, Instant};
 
-const KEPT_MS: u64 = BACK_KEPT.as_millis() as u64;
+const RETENTION_MS: u64 = BACK_RETENTION.as_millis() as u64;
 const HOUR_MS: u64 = 3_600_000;
-const FILE: &str = "sagearch-n.json";
+const FILE_NAME: &str = "sagearch-n.json";
 
 fn at(unix_ms: u64) -> Moment {
     Moment { unix_ms, since_boot: None }
@@ -28,7 +28,7 @@
     Intent::PutBack("s-1".into())
 }
 
-/// One that was put back at this moment.
+/// Intents with an endpoint that was put back at this moment.
 fn returned(moment: &Moment) -> Intents {
     let mut intents = Intents::default();
     intents.amend(&take_out(), moment);
@@ -41,15 +41,15 @@
 }
 
 #[test]
-fn two_calls_out_need_one_back() {
+fn endpoint_taken_out_twice_is_put_back_by_one_intent() {
     let mut intents = Intents::default();
     for intent in [take_out(), take_out(), put_back()] {
         intents.amend(&intent, &at(5));
     }
     assert_eq!((intents.out.len(), intents.back["s-1"]), (0, 5));
     intents.amend(&put_back(), &at(9));
-    assert_eq!(intents.back["s-1"], 5, "an endpoint that was not out keeps its time");
-    intents.amend(&Intent::Drain(true), &at(6 + KEPT_MS));
+    assert_eq!(intents.back["s-1"], 5, "an endpoint that was in service keeps its time");
+    intents.amend(&Intent::Drain(true), &at(6 + RETENTION_MS));
     assert!(intents.drained && intents.back.is_empty());
 }
 
@@ -59,7 +59,7 @@
 #[case::stepped_back(since_boot(5, "b", 12_000_000), 2_000)]
 #[case::other_boot(since_boot(HOUR_MS + 3_000, "c", 1_000_000), 3_000)]
 #[case::other_boot_and_stepped_back(since_boot(5, "c", 1_000_000), 0)]
-#[case::other_boot_and_stepped_forward(since_boot(9 * HOUR_MS, "c", 1_000_000), KEPT_MS)]
+#[case::other_boot_and_stepped_forward(since_boot(9 * HOUR_MS, "c", 1_000_000), RETENTION_MS)]
 #[case::no_boot_known(at(HOUR_MS + 4_000), 4_000)]
 #[case::monotonic_clock_behind(since_boot(HOUR_MS + 5_000, "b", 9_000_000), 5_000)]
 fn age_is_monotonic_within_a_boot_and_bounded_otherwise(#[case] now: Moment, #[case] want_ms: u64) {
@@ -67,13 +67,14 @@
     assert_eq!(intents.age("s-1", &now), Duration::from_millis(want_ms));
 }
 
-/// What is amended after a step of the wall clock states the old times by the new clock, as older programs read it.
+/// After a step of the wall clock, an amendment restates the stored times by the new clock, since older versions read only
+/// the wall clock's times.
 #[test]
-fn times_follow_a_step_of_the_wall_clock() {
+fn stored_times_are_restated_after_a_step_of_the_wall_clock() {
     let mut intents = returned(&since_boot(HOUR_MS, "b", 10_000_000));
     intents.amend(&Intent::Drain(true), &since_boot(2 * HOUR_MS, "b", 12_000_000));
     assert_eq!(intents.back["s-1"], 2 * HOUR_MS - 2_000);
-    // Stepped back, and written by a program that knows the wall clock alone: nothing lies in the future.
+    // Stepped back, and written by a version that knows only the wall clock: no restated time lies in the future.
     let mut older = returned(&at(2 * HOUR_MS));
     older.amend(&Intent::Drain(true), &since_boot(HOUR_MS, "b", 10_000_000));
     assert_eq!(older.back["s-1"], HOUR_MS);
@@ -81,19 +82,19 @@
 }
 
 #[test]
-fn file_is_read_by_old_and_new_programs() {
+fn file_is_read_by_older_and_newer_versions() {
     let old = r#"{"out":["s-2"],"back":{"s-1":3600000},"drained":true}"#;
     let read: Intents = serde_json::from_str(old).unwrap();
     assert_eq!(read.age("s-1", &at(HOUR_MS + 7)), Duration::from_millis(7));
     assert_eq!(serde_json::to_string(&read).unwrap(), old);
-    // An older program finds its three keys, and passes over what it does not know.
+    // An older version finds its three keys and ignores the unknown one.
     let new = serde_json::to_value(returned(&since_boot(HOUR_MS, "b", 10_000_000))).unwrap();
     assert_eq!((&new["back"]["s-1"], &new["drained"]), (&HOUR_MS.into(), &false.into()));
     assert!(new["out"].is_array());
 }
 
 #[rstest]
-fn intent_that_is_not_stored_is_not_in_force_and_is_stored_once_the_disk_is_well(
+fn intent_that_is_not_stored_is_not_in_force_and_is_stored_once_the_disk_recovers(
     #[values(Call::Read, Call::CreateNew, Call::Write, Call::Sync, Call::Rename, Call::SyncFolder)]
     call: Call,
     #[values(ENOSPC, EIO)] errno: i32,
@@ -102,17 +103,17 @@
     let folder = Folder::on(Arc::new(Shared(faults.clone())), &temporary.0);
     let mut file = IntentsFile::on(&folder, "n");
     let before = file.amend(&Intents::default(), &Intent::Drain(true)).unwrap();
-    // A moment's fault: the call is answered as done.
+    // A short fault: the intent is stored by a retry.
     faults.fail(call, errno, 2);
-    let last = || Instant::now() + LAST_ATTEMPT_AFTER;
-    let out = store_in_time(&mut file, &before, &take_out(), last()).unwrap();
+    let last_attempt = || Instant::now() + LAST_ATTEMPT_AFTER;
+    let out = store_with_retry(&mut file, &before, &take_out(), last_attempt()).unwrap();
     assert_eq!((faults.fired(), stored_in(&temporary)), (2, Some(out.clone())));
-    // A longer one: it is answered as failed, in time.
+    // A longer fault: storing fails before the call times out.
     faults.fail(call, errno, usize::MAX);
-    let began = Instant::now();
-    assert!(store_in_time(&mut file, &out, &put_back(), last()).is_err());
-    assert!(began.elapsed() < ANSWER_TIMEOUT, "{:?}", began.elapsed());
-    assert!(faults.fired() > 4, "it is tried several times");
+    let start = Instant::now();
+    assert!(store_with_retry(&mut file, &out, &put_back(), last_attempt()).is_err());
+    assert!(start.elapsed() < ANSWER_TIMEOUT, "{:?}", start.elapsed());
+    assert!(faults.fired() > 4, "storing is attempted several times");
     if call != Call::SyncFolder {
         assert_eq!(stored_in(&temporary), Some(out.clone()));
     }
@@ -122,14 +123,14 @@
 }
 
 #[test]
-fn intent_killed_at_any_call_leaves_what_was_acknowledged() {
+fn process_killed_at_any_system_call_keeps_acknowledged_intents() {
     for calls in 0..20 {
         let (temporary, faults) = (Temporary::new("killed"), FaultyFileSystem::new());
         let mut file = IntentsFile::on(&Folder::on(Arc::new(Shared(faults.clone())), &temporary.0), "n");
         let acknowledged = file.amend(&Intents::default(), &Intent::Drain(true)).unwrap();
         faults.die_after(calls);
         let next = file.amend(&acknowledged, &take_out());
-        let found = stored_in(&temporary).expect("what was acknowledged");
+        let found = stored_in(&temporary).expect("acknowledged intents are stored");
         let next_stored = next.as_ref().is_ok_and(|next| *next == found);
         assert!(next_stored || (next.is_err() && found.drained), "{calls}: {next:?}, {found:?}");
     }
@@ -139,36 +140,36 @@
 #[case::empty("")]
 #[case::torn("{\"out\":[\"s-")]
 #[case::other_form("[1]")]
-fn broken_file_is_not_used_and_falls_back_to_the_one_before(#[case] text: &str) {
+fn broken_file_is_ignored_and_falls_back_to_the_previous_version(#[case] text: &str) {
     let temporary = Temporary::new("broken");
-    let path = temporary.0.join(FILE);
+    let path = temporary.0.join(FILE_NAME);
     fs::write(&path, text).unwrap();
     let mut file = IntentsFile::on(&Folder::new(&temporary.0), "n");
-    assert_eq!((file.load_at_start().unwrap(), file.changed()), (None, None));
+    assert_eq!((file.load_at_start().unwrap(), file.read_if_changed()), (None, None));
     let first = file.amend(&Intents::default(), &Intent::Drain(true)).unwrap();
     let second = file.amend(&first, &take_out()).unwrap();
-    assert_eq!(file.changed(), Some(second.clone()));
+    assert_eq!(file.read_if_changed(), Some(second.clone()));
     fs::write(&path, text).unwrap();
-    assert_eq!(file.changed(), None, "a running process keeps what is in force");
-    assert_eq!(stored_in(&temporary), Some(first), "one that starts has nothing better");
-    // The broken one does not become the good one's successor.
+    assert_eq!(file.read_if_changed(), None, "a running process keeps the intents in force");
+    assert_eq!(stored_in(&temporary), Some(first), "a process that starts loads the previous version");
+    // The broken file does not replace the intact previous version.
     let third = file.amend(&second, &put_back()).unwrap();
     assert!(third.drained && third.out.is_empty());
     fs::write(&path, text).unwrap();
     assert!(stored_in(&temporary).is_some());
 }
 
-/// The wall clock was stepped back, or two writes share a tick of it.
+/// A change keeps the modification time if the wall clock was stepped back, or two writes share one of its ticks.
 #[test]
-fn change_of_the_same_length_and_modification_time_is_seen() {
+fn change_with_the_same_length_and_modification_time_is_detected() {
     let temporary = Temporary::new("changed");
-    let path = temporary.0.join(FILE);
+    let path = temporary.0.join(FILE_NAME);
     let mut file = IntentsFile::on(&Folder::new(&temporary.0), "n");
     let time = std::time::UNIX_EPOCH + Duration::from_secs(1);
     for store in ["s-1", "s-2"] {
         fs::write(&path, format!("{{\"out\":[\"{store}\"]}}")).unwrap();
         fs::File::options().write(true).open(&path).unwrap().set_modified(time).unwrap();
-        assert!(file.changed().is_some_and(|intents| intents.names(store)), "{store}");
-        assert_eq!(file.changed(), None);
+        assert!(file.read_if_changed().is_some_and(|intents| intents.names(store)), "{store}");
+        assert_eq!(file.read_if_changed(), None);
     }
 }
--- a/src/net/lifecycle/intents/worker.rs
+++ b/src/net/lifecycle/intents/worker.rs
@@ -1,4 +1,4 @@
-//! The thread that stores intents: it serves operators' calls, and polls the file for what another process has stored.
+//! The thread that stores intents: it serves operators' calls, and polls the file for intents stored by another process.
 
 use super::model::{Intent, Intents, Moment};
 use super::stored::{IntentsFile, StoreError};
@@ -12,31 +12,33 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How often the file is polled: what another process has stored has to be in force here within 1 s.
+/// How often the file is polled: intents stored by another process have to be in force in this one within 1 s.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How long after a call the last attempt to store its intent may begin, so that it ends before the call is answered.
+/// How long after a call the last attempt to store its intent may begin, so that the attempt ends before the call times out.
 pub(super) const LAST_ATTEMPT_AFTER: Duration = Duration::from_millis(550);
-/// The first and the longest pause between two attempts to store an intent.
-const FIRST_PAUSE: Duration = Duration::from_millis(10);
-const LONGEST_PAUSE: Duration = Duration::from_millis(160);
-/// How long the start waits for stored intents. A gateway that serves without them uses endpoints that operators took out.
+/// The initial pause of the backoff between two attempts to read or store intents.
+const INITIAL_RETRY_PAUSE: Duration = Duration::from_millis(10);
+/// The maximum pause of the backoff between two attempts to read or store intents.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(160);
+/// How long the start retries to load stored intents. Without them a gateway sends requests to endpoints that operators have
+/// taken out of service.
 const LOAD_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// An operator's call on its way to the thread that stores intents.
+/// A request of an operator's call to store an intent.
 pub(super) struct Request {
     pub(super) intent: Intent,
     pub(super) received: Instant,
-    pub(super) done: mpsc::Sender<io::Result<()>>,
+    pub(super) result_sender: mpsc::Sender<io::Result<()>>,
 }
 
-/// Tries to store an intent until it is stored or the time of its call is over. The returned intents are durable.
-pub(super) fn store_in_time(
+/// Stores an intent, and retries until the deadline of the last attempt. The returned intents are durable.
+pub(super) fn store_with_retry(
     file: &mut IntentsFile,
     in_force: &Intents,
     intent: &Intent,
     last_attempt: Instant,
 ) -> Result<Intents, StoreError> {
-    let mut backoff = Backoff::new(FIRST_PAUSE, LONGEST_PAUSE);
+    let mut backoff = Backoff::new(INITIAL_RETRY_PAUSE, MAX_RETRY_PAUSE);
     loop {
         let error = match file.amend(in_force, intent) {
             Ok(intents) => return Ok(intents),
@@ -51,25 +53,25 @@
     }
 }
 
-/// Brings stored intents into force here.
+/// Applies the differences between the intents in force and `new` to the broker, and puts `new` in force.
 fn apply(core: &Core, in_force: &Mutex<Intents>, new: Intents, moment: &Moment) {
-    let mut held = lock(in_force);
+    let mut current = lock(in_force);
     let now = core.clock.now();
     let mut broker = core.broker();
-    for store in new.out.difference(&held.out) {
+    for store in new.out.difference(&current.out) {
         log::info!("{store} is taken out by hand");
         broker.take_out_of_service(now, member_id(store));
     }
-    for store in held.out.difference(&new.out) {
+    for store in current.out.difference(&new.out) {
         log::info!("{store} is put back by hand");
         let age = if new.back.contains_key(store) { new.age(store, moment) } else { Duration::ZERO };
         broker.return_to_service(now, member_id(store), now.saturating_sub(age.as_micros() as u64));
     }
-    if new.drained != held.drained {
+    if new.drained != current.drained {
         log::info!("{}", if new.drained { "the gateway is being emptied" } else { "the drain is over" });
         broker.set_draining(now, new.drained);
     }
-    *held = new;
+    *current = new;
 }
 
 /// Continues the slow start of endpoints that were put back before this process started.
@@ -83,7 +85,7 @@
     }
 }
 
-/// The thread that stores intents: files are read and written nowhere else.
+/// The state of the thread that stores intents, which is the only one that reads and writes their file.
 pub(super) struct Worker {
     core: Arc<Core>,
     in_force: Arc<Mutex<Intents>>,
@@ -93,23 +95,25 @@
 }
 
 impl Worker {
-    /// A worker that has not read the file yet.
+    /// Creates a worker that has not read the file yet.
     pub(super) fn new(core: Arc<Core>, in_force: Arc<Mutex<Intents>>, file: IntentsFile) -> Worker {
         Worker { core, in_force, file, loaded: false }
     }
 
-    /// Reads the stored intents as the process starts, and retries for a while. A file that can't be read does not stop the
-    /// start: it is polled in service ([`Worker::follow_file`]).
+    /// Loads the stored intents at the start of the process, with retries for at most [`LOAD_TIMEOUT`]. A file that can't be
+    /// read does not prevent the start: reading continues in service ([`Worker::follow_file`]).
     pub(super) fn load_at_start(&mut self) {
         let last_attempt = Instant::now() + LOAD_TIMEOUT;
-        let mut backoff = Backoff::new(FIRST_PAUSE, LONGEST_PAUSE);
+        let mut backoff = Backoff::new(INITIAL_RETRY_PAUSE, MAX_RETRY_PAUSE);
         while let Err(error) = self.load() {
             let pause = backoff.pause();
             if Instant::now() + pause > last_attempt {
-                log::error!("intents: {error}; the gateway starts without what is stored, and reads on");
+                log::error!(
+                    "intents: the gateway starts without the stored intents and continues to read: {error}"
+                );
                 return;
             }
-            log::warn!("intents: {error}; read again");
+            log::warn!("intents: reading failed and is retried: {error}");
             std::thread::sleep(pause);
         }
     }
@@ -124,7 +128,7 @@
         Ok(())
     }
 
-    /// Serves calls and follows the file, until no more calls can come.
+    /// Serves operators' calls and polls the file, until the last sender of calls is dropped.
     pub(super) fn run(&mut self, requests: &mpsc::Receiver<Request>) {
         loop {
             match requests.recv_timeout(POLL_INTERVAL) {
@@ -135,34 +139,34 @@
         }
     }
 
-    fn serve(&mut self, Request { intent, received, done }: Request) {
-        // Its call is answered as failed before anything could be stored, so it must not come into force.
+    fn serve(&mut self, Request { intent, received, result_sender }: Request) {
+        // The call times out before its intent could be stored, so the intent must not come into force.
         if received.elapsed() > LAST_ATTEMPT_AFTER {
-            let _ = done.send(Err(io::ErrorKind::TimedOut.into()));
+            let _ = result_sender.send(Err(io::ErrorKind::TimedOut.into()));
             return;
         }
-        let before = lock(&self.in_force).clone();
-        let stored = store_in_time(&mut self.file, &before, &intent, received + LAST_ATTEMPT_AFTER);
+        let in_force = lock(&self.in_force).clone();
+        let stored = store_with_retry(&mut self.file, &in_force, &intent, received + LAST_ATTEMPT_AFTER);
         let answer = match stored {
             Ok(intents) => {
                 self.apply(intents);
                 Ok(())
             }
             Err(error) => {
-                log::error!("intents: {error}; {intent:?} is not stored");
+                log::error!("intents: {intent:?} is not stored: {error}");
                 Err(io::Error::other(error))
             }
         };
-        let _ = done.send(answer);
+        let _ = result_sender.send(answer);
     }
 
     fn follow_file(&mut self) {
         if !self.loaded
             && let Err(error) = self.load()
         {
-            log::debug!("intents: {error}");
+            log::debug!("intents: loading failed: {error}");
         }
-        if let Some(intents) = self.file.changed() {
+        if let Some(intents) = self.file.read_if_changed() {
             self.apply(intents);
         }
     }
--- a/src/net/lifecycle/link.rs
+++ b/src/net/lifecycle/link.rs
@@ -1,12 +1,13 @@
-//! The link between the old and the new process of a gateway during an upgrade: a Unix socket in `$TMPDIR` that carries
-//! lines of JSON, on a thread of its own.
+//! The link between the previous and the new process of a gateway during an upgrade: a Unix socket in `$TMPDIR` that carries
+//! lines of JSON. Each process serves it on a dedicated thread.
 //!
-//! The new process connects to the old one, which sends its state: learned statistics, the ids in use, tokens and keys. From
-//! then on both send each other status messages, with new ids and counts of connections, until one of them ends.
+//! The new process connects to the previous one, which sends its state: learned statistics, the ids in use, and the state of
+//! tokens and keys. From then on both send each other status messages, with new ids and connection counts, until one of them
+//! ends.
 
 use crate::net::core::{ConnectionCounts, Core};
 use crate::net::io_error::{Call, Failure, retry_option};
-use crate::net::lifecycle::gateway_file::file_in;
+use crate::net::lifecycle::gateway_file::gateway_file_path;
 use crate::net::lock;
 use crate::{Learned, SendingTime};
 use serde::de::DeserializeOwned;
@@ -21,65 +22,71 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// How often each process sends its status, and after what silence the other one counts as ended.
+/// How often each process sends its status.
 const STATUS_INTERVAL: Duration = Duration::from_millis(25);
+/// How long the other process may send nothing before it counts as ended.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a new process waits for the handover. It has to be ready 6 s after its start.
+/// How long a new process waits for the handover, since it has to be ready 6 s after its start. Also the write timeout of
+/// the link.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(1);
-/// The pause before a failed system call is retried, and how often a connection is attempted.
+/// The pause before a failed system call is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(25);
+/// The number of attempts of a new process to connect to the previous one.
 const CONNECT_ATTEMPTS: u32 = 4;
-/// The longest message. 30,000 counts and all ids in use are much shorter.
+/// The size limit of a message. 30,000 counts and all ids in use are much shorter.
 const MAX_LINE_BYTES: u64 = 4 * 1024 * 1024;
-/// The stack of the link's thread.
+/// The stack size of the link's thread.
 const STACK_BYTES: usize = 256 * 1024;
 /// How many processes share the gateway's budgets during an upgrade.
 const PROCESSES_DURING_UPGRADE: u8 = 2;
 
-/// The first message of the old process to the new one.
+/// The first message that the previous process sends to the new one.
 #[derive(Serialize, Deserialize)]
 struct Handover {
     /// The index of each class in `learned`.
     classes: BTreeMap<String, usize>,
     learned: Learned,
-    /// Ids that are in flight or answered.
+    /// The ids of requests that are in flight or answered.
     used: Vec<u64>,
     /// The state of tokens and keys, such as tokens that are never accepted again.
     #[serde(default)]
     identity: Option<sagearch_identity::Handover>,
 }
 
-/// What each process sends the other one at [`STATUS_INTERVAL`].
+/// The message that each process sends to the other one every [`STATUS_INTERVAL`].
 #[derive(Default, Serialize, Deserialize)]
 struct Status {
-    /// The connections that the sender holds.
+    /// The counts of connections that the sender holds.
     held: ConnectionCounts,
-    /// Ids that have come into use since the last message.
+    /// The request ids that came into use since the last message.
     used: Vec<u64>,
 }
 
-/// The path of the link's socket, through a descriptor of its folder: a socket's path has at most 107 bytes, and `$TMPDIR`
-/// may be longer.
-struct SocketPlace {
+/// The location of the link's socket. Its path leads through a descriptor of the folder, since a socket's path has at most
+/// 107 bytes, and `$TMPDIR` may be longer.
+struct SocketLocation {
     folder: File,
     name: PathBuf,
 }
 
-impl SocketPlace {
-    fn new(folder: &Path, gateway: &str) -> io::Result<SocketPlace> {
-        Ok(SocketPlace { folder: File::open(folder)?, name: file_in(Path::new(""), gateway, "link") })
+impl SocketLocation {
+    fn new(folder: &Path, gateway: &str) -> io::Result<SocketLocation> {
+        Ok(SocketLocation {
+            folder: File::open(folder)?,
+            name: gateway_file_path(Path::new(""), gateway, "link"),
+        })
     }
 
     fn path(&self) -> PathBuf {
         Path::new("/proc/self/fd").join(self.folder.as_raw_fd().to_string()).join(&self.name)
     }
 
-    /// Listens in place of the previous process.
+    /// Listens on the link's path in place of the previous process. The rename replaces that process's socket atomically.
     fn listen(&self) -> io::Result<UnixListener> {
-        let (path, beside) = (self.path(), self.path().with_extension("link-new"));
-        let _ = fs::remove_file(&beside);
-        let listener = UnixListener::bind(&beside)?;
-        fs::rename(beside, path)?;
+        let (path, temporary) = (self.path(), self.path().with_extension("link-new"));
+        let _ = fs::remove_file(&temporary);
+        let listener = UnixListener::bind(&temporary)?;
+        fs::rename(temporary, path)?;
         Ok(listener)
     }
 }
@@ -87,7 +94,7 @@
 /// A stream of messages, each a line of JSON.
 struct MessageStream {
     reader: BufReader<UnixStream>,
-    /// The bytes received of the next message.
+    /// The bytes of the next message that have been received so far.
     partial: Vec<u8>,
 }
 
@@ -103,11 +110,11 @@
         self.reader.get_mut().write_all(&text)
     }
 
-    /// Receives the next message. `None`: it has not been received in full within this time.
-    fn receive<T: DeserializeOwned>(&mut self, within: Duration) -> io::Result<Option<T>> {
-        retry_option(|| self.reader.get_ref().set_read_timeout(Some(within)))?;
-        let room = MAX_LINE_BYTES.saturating_sub(self.partial.len() as u64);
-        match (&mut self.reader).take(room).read_until(b'\n', &mut self.partial) {
+    /// Receives the next message. `None`: it has not been received completely within `timeout`.
+    fn receive<T: DeserializeOwned>(&mut self, timeout: Duration) -> io::Result<Option<T>> {
+        retry_option(|| self.reader.get_ref().set_read_timeout(Some(timeout)))?;
+        let remaining_bytes = MAX_LINE_BYTES.saturating_sub(self.partial.len() as u64);
+        match (&mut self.reader).take(remaining_bytes).read_until(b'\n', &mut self.partial) {
             Ok(_) if self.partial.ends_with(b"\n") => {
                 let line = std::mem::take(&mut self.partial);
                 Ok(Some(serde_json::from_slice(&line)?))
@@ -127,15 +134,15 @@
     }
 }
 
-/// The state of this process that the next one needs.
+/// Collects the state of this process that the next process needs.
 fn hand_over(core: &Core) -> Handover {
     let classes = core.deployment().names.classes.clone();
     let broker = core.broker();
     let learned = broker.learned().clone();
-    let open: Vec<u64> = broker.open_request_ids().map(|id| id.0).collect();
+    let open_ids: Vec<u64> = broker.open_request_ids().map(|id| id.0).collect();
     drop(broker);
     let mut used = core.clients.answered_ids();
-    used.extend(open);
+    used.extend(open_ids);
     Handover { classes, learned, used, identity: core.guard.version.hand_over() }
 }
 
@@ -145,11 +152,11 @@
     if let Some(handover) = identity {
         core.guard.version.take_over(handover);
     }
-    let before = std::mem::take(&mut learned.sending_times);
-    for (name, at) in &core.deployment().names.classes {
-        learned.sending_times.resize(learned.sending_times.len().max(at + 1), SendingTime::default());
-        let mean = classes.get(name).and_then(|at| before.get(*at));
-        learned.sending_times[*at] = mean.copied().unwrap_or_default();
+    let previous_times = std::mem::take(&mut learned.sending_times);
+    for (name, index) in &core.deployment().names.classes {
+        learned.sending_times.resize(learned.sending_times.len().max(index + 1), SendingTime::default());
+        let mean = classes.get(name).and_then(|index| previous_times.get(*index));
+        learned.sending_times[*index] = mean.copied().unwrap_or_default();
     }
     log::info!("taking over from the process before: {} ids", used.len());
     for id in used {
@@ -159,14 +166,14 @@
 }
 
 /// Sends and receives status messages until the other process has ended.
-fn exchange_status(core: &Core, line: &mut MessageStream) -> io::Result<()> {
-    let mut silent = Duration::ZERO;
-    while silent < SILENCE_TIMEOUT {
+fn exchange_status(core: &Core, messages: &mut MessageStream) -> io::Result<()> {
+    let mut silence = Duration::ZERO;
+    while silence < SILENCE_TIMEOUT {
         let used = std::mem::take(&mut *lock(&core.ids_to_report));
-        line.send(&Status { held: core.held_connections(), used })?;
-        silent += STATUS_INTERVAL;
-        if let Some(status) = line.receive::<Status>(STATUS_INTERVAL)? {
-            silent = Duration::ZERO;
+        messages.send(&Status { held: core.held_connections(), used })?;
+        silence += STATUS_INTERVAL;
+        if let Some(status) = messages.receive::<Status>(STATUS_INTERVAL)? {
+            silence = Duration::ZERO;
             status.used.iter().for_each(|id| core.clients.note_answered(*id));
             core.leave_capacity_to(status.held);
             // The other process sends at the same interval, so its next message is due when ours is.
@@ -176,12 +183,12 @@
     Ok(())
 }
 
-/// Serves beside the other process, each with half of the shared budgets, until that process has ended.
-fn run_beside(core: &Core, line: &mut MessageStream) {
+/// Exchanges status messages with the other process until it has ended. Each process has half of the shared budgets.
+fn serve_beside_peer(core: &Core, messages: &mut MessageStream) {
     log::info!("two processes are this gateway");
     core.broker().set_process_count(PROCESSES_DURING_UPGRADE);
     core.has_peer_process.store(true, Ordering::SeqCst);
-    if let Err(e) = exchange_status(core, line) {
+    if let Err(e) = exchange_status(core, messages) {
         log::debug!("link: {e}");
     }
     core.has_peer_process.store(false, Ordering::SeqCst);
@@ -192,48 +199,50 @@
     log::info!("one process is this gateway");
 }
 
-/// Connects to the previous process. A failure by a shortage of this machine is retried.
-fn connect(place: &SocketPlace) -> io::Result<UnixStream> {
+/// Connects to the previous process. Transient failures and those caused by a resource shortage of this machine are retried.
+fn connect(location: &SocketLocation) -> io::Result<UnixStream> {
     let is_retried = |e: &io::Error| {
         matches!(Failure::of(Call::Connect, e), Failure::Transient | Failure::LocalShortage(_))
     };
     for _ in 1..CONNECT_ATTEMPTS {
-        match UnixStream::connect(place.path()) {
+        match UnixStream::connect(location.path()) {
             Err(e) if is_retried(&e) => std::thread::sleep(RETRY_DELAY),
             connected => return connected,
         }
     }
-    UnixStream::connect(place.path())
+    UnixStream::connect(location.path())
 }
 
-/// Takes over from a previous process, if there is one, and waits for the next one on a thread of its own.
+/// Takes over the state of the previous process, if there is one, and starts a thread that serves the link to that process
+/// and to later ones.
 ///
 /// # Errors
 ///
-/// If the socket or the thread can't be made. The caller goes on: without the link the gateway serves all the same.
+/// Returns an error if the socket or the thread can't be created. The gateway can serve without the link.
 pub fn start(core: &Arc<Core>, folder: &Path, gateway: &str) -> io::Result<()> {
-    let place = SocketPlace::new(folder, gateway)?;
-    let old = connect(&place).and_then(|stream| {
-        let mut line = MessageStream::new(stream)?;
-        let handover = line.receive(HANDOVER_TIMEOUT)?.ok_or(io::ErrorKind::TimedOut)?;
+    let location = SocketLocation::new(folder, gateway)?;
+    let previous = connect(&location).and_then(|stream| {
+        let mut messages = MessageStream::new(stream)?;
+        let handover = messages.receive(HANDOVER_TIMEOUT)?.ok_or(io::ErrorKind::TimedOut)?;
         take_over(core, handover);
-        Ok(line)
+        Ok(messages)
     });
-    let old = old.inspect_err(|e| log::debug!("no process before: {e}")).ok();
-    let listener = place.listen()?;
+    let previous =
+        previous.inspect_err(|e| log::debug!("link: no handover from a previous process: {e}")).ok();
+    let listener = location.listen()?;
     let core = core.clone();
     std::thread::Builder::new().name("link".into()).stack_size(STACK_BYTES).spawn(move || {
-        if let Some(mut line) = old {
-            run_beside(&core, &mut line);
+        if let Some(mut messages) = previous {
+            serve_beside_peer(&core, &mut messages);
         }
         for stream in listener.incoming() {
-            let line = stream.and_then(|stream| {
-                let mut line = MessageStream::new(stream)?;
-                line.send(&hand_over(&core))?;
-                Ok(line)
+            let messages = stream.and_then(|stream| {
+                let mut messages = MessageStream::new(stream)?;
+                messages.send(&hand_over(&core))?;
+                Ok(messages)
             });
-            match line {
-                Ok(mut line) => run_beside(&core, &mut line),
+            match messages {
+                Ok(mut messages) => serve_beside_peer(&core, &mut messages),
                 Err(e) => {
                     log::warn!("link: {e}");
                     std::thread::sleep(RETRY_DELAY);
--- a/src/net/lifecycle/signal.rs
+++ b/src/net/lifecycle/signal.rs
@@ -1,7 +1,7 @@
-//! Handles SIGTERM, SIGINT and SIGHUP on a thread of its own, so that the worker never waits for them.
+//! Handles SIGTERM, SIGINT and SIGHUP on a dedicated thread, so that the worker never blocks on them.
 //!
-//! `signal_hook`'s iterator wakes its thread through a pair of Unix sockets. On a platform that refuses Unix sockets each
-//! signal sets a flag instead, and the thread polls the flags every `FLAG_POLL_INTERVAL`.
+//! The iterator of `signal_hook` wakes its thread through a pair of Unix sockets. On a platform that refuses Unix sockets,
+//! each signal sets a flag instead, and the thread polls the flags every `FLAG_POLL_INTERVAL`.
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -11,35 +11,34 @@
 use std::sync::mpsc::sync_channel;
 use std::time::Duration;
 
-/// The stack of the thread that handles signals.
+/// The stack size of the thread that handles signals.
 const STACK_BYTES: usize = 256 * 1024;
-/// The stack of the thread that reads the configuration again.
+/// The stack size of the thread that reloads the configuration.
 const RELOAD_STACK_BYTES: usize = 1024 * 1024;
-/// How often the flags are polled where no socket can wake the thread: well within the 0.2 s during which new connections
-/// still arrive after SIGTERM.
+/// How often the flags are polled where no socket can wake the thread: much shorter than the 0.2 s during which new
+/// connections still arrive after SIGTERM.
 const FLAG_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Handles SIGHUP at once, as it would end a process that has not finished its start, and runs `reload` on a thread of its
-/// own, where files may be read: a file that can't be read to its end must not delay SIGTERM. The returned flag is set by
-/// SIGTERM or SIGINT.
+/// Starts to handle signals: SIGTERM and SIGINT set the returned flag, and SIGHUP runs `reload`.
+///
+/// SIGHUP is handled from this call on, because it would otherwise terminate a process that is still starting. `reload` runs
+/// on a separate thread, where it may read files: a read that blocks must not delay SIGTERM.
 ///
 /// # Errors
 ///
-/// If the system can't start a thread or register a handler.
+/// Returns an error if a thread can't be started or a handler can't be registered.
 pub fn handle_signals(reload: impl Fn() + Send + 'static) -> io::Result<Arc<AtomicBool>> {
-    let flag = Arc::new(AtomicBool::new(false));
+    let stop = Arc::new(AtomicBool::new(false));
     let reload = spawn_reload_thread(reload)?;
     let mut signals = match Signals::new([SIGTERM, SIGINT, SIGHUP]) {
         Ok(signals) => signals,
         Err(refused) => {
-            log::warn!(
-                "signals: {refused}; their flags are looked at every {FLAG_POLL_INTERVAL:?} in its place"
-            );
-            poll_flags(flag.clone(), reload)?;
-            return Ok(flag);
+            log::warn!("signals: {refused}; polling signal flags every {FLAG_POLL_INTERVAL:?} instead");
+            poll_flags(stop.clone(), reload)?;
+            return Ok(stop);
         }
     };
-    let set = flag.clone();
+    let stop_requested = stop.clone();
     std::thread::Builder::new().name("signals".into()).stack_size(STACK_BYTES).spawn(move || {
         for signal in signals.forever() {
             if signal == SIGHUP {
@@ -47,14 +46,14 @@
                 continue;
             }
             log::info!("signal {signal}: finishing what has been taken");
-            set.store(true, Ordering::SeqCst);
+            stop_requested.store(true, Ordering::SeqCst);
         }
     })?;
-    Ok(flag)
+    Ok(stop)
 }
 
 /// Starts the thread that runs `reload`, and returns a function that requests a run. Requests during a run result in one
-/// more run, which reads the file as it is then.
+/// more run, which reads the file in its state at that time.
 fn spawn_reload_thread(reload: impl Fn() + Send + 'static) -> io::Result<impl Fn() + Send + 'static> {
     let (request, requests) = sync_channel::<()>(1);
     let thread = std::thread::Builder::new().name("reload".into()).stack_size(RELOAD_STACK_BYTES);
@@ -64,8 +63,9 @@
     })
 }
 
-/// Handles signals without a descriptor: the handlers only set flags, which is all that a handler may safely do. Several
-/// signals of one kind between two polls count as one, as a reload reads the file as it is then.
+/// Handles signals without a descriptor: the handlers only set flags, as few other operations are safe in a signal handler,
+/// and a thread polls them. Several signals of one kind between two polls count as one, since a reload reads the file in its
+/// state at that time.
 fn poll_flags(stop: Arc<AtomicBool>, reload: impl Fn() + Send + 'static) -> io::Result<()> {
     let (terminated, hung_up) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
     for signal in [SIGTERM, SIGINT] {
