--- a/crates/feed/src/relay/upstream.rs
+++ b/crates/feed/src/relay/upstream.rs
@@ -26,7 +26,7 @@
         /// The offset of the answer.
         answer_offset: Offset,
     },
-    /// The endpoint list would have this many stores, which exceeds [`MAX_STORES`].
+    /// The endpoint list would have this many stores, which exceeds `MAX_STORES`.
     #[error("the endpoint list has {0} stores; the maximum is {MAX_STORES}")]
     TooManyStores(usize),
     /// An event can't be encoded as JSON.
